--- a/src/core/packets/coldsharing.cpp
+++ b/src/core/packets/coldsharing.cpp
@@ -1,4 +1,4 @@
-/// Request rates of this host to cold upstreams.
+/// Request rates at which this host may use cold upstreams.
 #include "core/packets/coldsharing.h"
 
 #include "core/blackboard.h"
@@ -11,9 +11,10 @@
 
 namespace {
 
-/// Hosts that may regard themselves as owner of an upstream at once, as membership views differ.
+/// Hosts that may consider themselves owner of an upstream at once, because membership views
+/// differ.
 constexpr double concurrentOwnersMax = 2;
-/// Requests that an owner may send in a second above its rate: a full bucket.
+/// Requests that an owner may send above its rate within one second: the size of a full bucket.
 constexpr double ownerBurst = 1;
 
 /// Returns whether this host started too recently to know the other hosts of its zone.
@@ -22,8 +23,8 @@
     return board.now.mono - board.membership.startedAt < config::directoryMeetTime;
 }
 
-/// Returns the rate of an owner: the cold limit, reduced where two owners together would exceed the
-/// bound on the requests of all hosts in a second.
+/// Returns the rate of an owner: the cold limit, reduced if two owners together would exceed the
+/// bound on the requests that all hosts send in a second.
 auto ownerRate(const Init &init, const ColdLimit &limit) -> double
 {
     const auto limitRate = limit.requestsPerSecond;
@@ -55,7 +56,7 @@
     return limit.requestsPerSecond / static_cast<double>(hosts);
 }
 
-auto sharingOf(ColdPolicy policy) -> ColdSharing
+auto coldSharingOf(ColdPolicy policy) -> ColdSharing
 {
     if (policy == ColdPolicy::Split) {
         return EqualSplitSharing();
@@ -63,14 +64,14 @@
     return SingleOwnerSharing();
 }
 
-auto reviewColdUpstreams(Blackboard &board) -> void
+auto updateColdLimits(Blackboard &board) -> void
 {
     auto &directory = board.directory;
     directory.liftExpiredColdLimits(board.now.mono);
     if (directory.coldLimitedCount() == 0) {
         return;
     }
-    const auto sharing = sharingOf(board.init.coldPolicy);
+    const auto sharing = coldSharingOf(board.init.coldPolicy);
     for (std::uint32_t i = 0; i < directory.entries().size(); ++i) {
         auto &entry = directory.at(i);
         if (!entry.isColdLimited) {
--- a/src/core/packets/flowchoice.cpp
+++ b/src/core/packets/flowchoice.cpp
@@ -1,4 +1,4 @@
-/// Draws and compares upstreams for a new flow.
+/// Strategies that choose one of several upstreams for a new flow.
 #include "core/packets/flowchoice.h"
 
 #include "core/blackboard.h"
@@ -10,31 +10,33 @@
 
 namespace {
 
-/// An upstream that is slow after its start counts as if it had this share of its slots.
-constexpr double coldShare = 0.5;
+/// An upstream that is still warming up counts as if it had only this share of its slots.
+constexpr double coldSlotShare = 0.5;
 
-/// Returns how busy an upstream would be with one flow more.
+/// Returns the requests per slot of an upstream if it took one more flow.
 auto loadOf(const Blackboard &board, std::uint32_t index) -> double
 {
     const auto &entry = board.directory.at(index);
     const auto slots = static_cast<double>(entry.record.upstream.slots)
-                       * (board.now.mono < entry.warmAt ? coldShare : 1.0);
+                       * (board.now.mono < entry.warmAt ? coldSlotShare : 1.0);
     return (entry.evidence.busy + 1) / slots;
 }
 
-/// Returns whether a candidate is not to be avoided and its cold limit, if any, allows a flow.
+/// Returns whether the flow need not avoid a candidate and its cold limit, if any, allows a flow.
 auto isEligible(const Blackboard &board, std::uint32_t index, const NewFlow &flow) -> bool
 {
     return flow.avoid != index && board.directory.at(index).hasColdRoom();
 }
 
-/// Keeps the least busy of the upstreams that are offered.
-class LeastBusy
+/// Finds the least busy of the candidates that it is given.
+class LeastBusySearch
 {
 public:
-    LeastBusy(Blackboard &blackboard, const NewFlow &newFlow) : board(blackboard), flow(newFlow) {}
+    LeastBusySearch(Blackboard &blackboard, const NewFlow &newFlow)
+        : board(blackboard), flow(newFlow)
+    {}
 
-    auto offer(std::uint32_t index) -> void
+    auto consider(std::uint32_t index) -> void
     {
         if (!isEligible(this->board, index, this->flow)) {
             return;
@@ -43,8 +45,8 @@
         if (this->best && load > this->bestLoad) {
             return;
         }
-        this->equals = this->best && load == this->bestLoad ? this->equals + 1 : 1;
-        if (this->equals == 1 || this->board.random() % this->equals == 0) {
+        this->ties = this->best && load == this->bestLoad ? this->ties + 1 : 1;
+        if (this->ties == 1 || this->board.random() % this->ties == 0) {
             this->best = index;
             this->bestLoad = load;
         }
@@ -57,12 +59,12 @@
     const NewFlow &flow;
     std::optional<std::uint32_t> best;
     double bestLoad = 0;
-    std::uint32_t equals = 0;
+    std::uint32_t ties = 0;
 };
 
-/// Returns the candidate at `start`, or the next one where that is to be avoided.
-auto from(const Blackboard &board, const FlowCandidates &candidates, std::uint64_t start,
-          const NewFlow &flow) -> std::optional<std::uint32_t>
+/// Returns the first eligible candidate from position `start` on, wrapping around at the end.
+auto firstEligible(const Blackboard &board, const FlowCandidates &candidates, std::uint64_t start,
+                   const NewFlow &flow) -> std::optional<std::uint32_t>
 {
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const auto index = candidates[(start + i) % candidates.size()];
@@ -78,32 +80,32 @@
 auto ChooseLeastBusy::choose(Blackboard &board, const FlowCandidates &candidates,
                              const NewFlow &flow) const -> std::optional<std::uint32_t>
 {
-    LeastBusy least(board, flow);
+    LeastBusySearch search(board, flow);
     if (candidates.size() <= config::placementScan) {
         for (const auto index : candidates) {
-            least.offer(index);
+            search.consider(index);
         }
-        return least.result();
+        return search.result();
     }
     for (std::size_t draw = 0; draw < config::placementDraws; ++draw) {
-        least.offer(candidates[board.random() % candidates.size()]);
+        search.consider(candidates[board.random() % candidates.size()]);
     }
-    return least.result();
+    return search.result();
 }
 
 auto ChooseRandom::choose(Blackboard &board, const FlowCandidates &candidates,
                           const NewFlow &flow) const -> std::optional<std::uint32_t>
 {
-    return from(board, candidates, board.random(), flow);
+    return firstEligible(board, candidates, board.random(), flow);
 }
 
 auto ChooseByHash::choose(Blackboard &board, const FlowCandidates &candidates,
                           const NewFlow &flow) const -> std::optional<std::uint32_t>
 {
-    return from(board, candidates, flow.hash, flow);
+    return firstEligible(board, candidates, flow.hash, flow);
 }
 
-auto choiceOf(PacketPolicy policy) -> FlowChoice
+auto flowChoiceOf(PacketPolicy policy) -> FlowChoice
 {
     switch (policy) {
     case PacketPolicy::LeastBusy:
--- a/src/core/packets/flowchoice.h
+++ b/src/core/packets/flowchoice.h
@@ -1,4 +1,4 @@
-/// How one of several upstreams is chosen for a new flow.
+/// Strategies that choose one of several upstreams for a new flow.
 #pragma once
 
 #include <flamingograde/packetpolicy.h>
@@ -15,24 +15,25 @@
 
 using FlowCandidates = std::vector<std::uint32_t>; ///< Indices of entries in the directory.
 
-/// Takes the least busy for its slots; of equals, any with the same chance.
+/// Chooses the upstream with the fewest requests per slot, and among equals one at random.
 ///
-/// Up to `config::placementScan` are all compared; of more, `config::placementDraws` are drawn, so
-/// that a placement stays under a microsecond whatever the size of a service.
+/// Up to `config::placementScan` candidates are all compared; of more, `config::placementDraws` are
+/// drawn at random and compared, so that a placement takes less than a microsecond for a service of
+/// any size.
 struct ChooseLeastBusy
 {
     [[nodiscard]] auto choose(Blackboard &board, const FlowCandidates &candidates,
                               const NewFlow &flow) const -> std::optional<std::uint32_t>;
 };
 
-/// Takes any with the same chance. A baseline.
+/// Chooses an upstream at random, each with the same probability. Serves as a baseline.
 struct ChooseRandom
 {
     [[nodiscard]] auto choose(Blackboard &board, const FlowCandidates &candidates,
                               const NewFlow &flow) const -> std::optional<std::uint32_t>;
 };
 
-/// Takes the one that the flow's ends hash to. A baseline.
+/// Chooses by the hash of the flow's addresses and ports. Serves as a baseline.
 struct ChooseByHash
 {
     [[nodiscard]] auto choose(Blackboard &board, const FlowCandidates &candidates,
@@ -41,7 +42,7 @@
 
 using FlowChoice = std::variant<ChooseLeastBusy, ChooseRandom, ChooseByHash>;
 
-/// Returns the choice of a policy. Thread safe.
-[[nodiscard]] auto choiceOf(PacketPolicy policy) -> FlowChoice;
+/// Returns the strategy that a policy stands for. Thread safe.
+[[nodiscard]] auto flowChoiceOf(PacketPolicy policy) -> FlowChoice;
 
 } // namespace flamingograde
--- a/src/core/packets/flowentry.h
+++ b/src/core/packets/flowentry.h
@@ -1,4 +1,4 @@
-/// What a host remembers of one flow.
+/// State that a host keeps for one flow.
 #pragma once
 
 #include "core/packets/flowkey.h"
@@ -9,29 +9,30 @@
 
 namespace flamingograde {
 
-/// What a flow waits for.
+/// Progress of a flow's opening or of its current request.
 enum class FlowStage : std::uint8_t {
     Free,    ///< The entry is unused.
-    Opening, ///< Its opening packet was forwarded; nothing came since.
-    Idle,    ///< It is open and no request is under way.
-    Waiting, ///< It is open and a request is under way.
-    Overdue, ///< The same, and its caller has sent the request again.
-    Lost,    ///< The same, and its caller has sent the request a third time.
+    Opening, ///< Its opening packet was forwarded; no second packet has arrived.
+    Idle,    ///< It is open and no request is pending.
+    Waiting, ///< It is open and a request is pending.
+    Overdue, ///< Its caller has retransmitted the pending request once.
+    Lost,    ///< Its caller has retransmitted the pending request twice.
 };
 
-/// A watched flow. Nothing is decided by it that a lost entry would break.
+/// A tracked flow. Its entry may be overwritten at any time, so no decision may depend on it for
+/// correctness: packets of open flows are steered by their cookie.
 struct FlowEntry
 {
     FlowKey key;
-    std::uint32_t upstream = 0;     ///< Index of its entry in the directory.
-    Cookie cookie;                  ///< Of that upstream, to notice that the index was reused.
-    std::uint32_t packetAt = 0;     ///< When its last packet came, in ms of `FlowTable::clock`.
-    std::uint32_t sentAt = 0;       ///< When the opening or the request was forwarded.
-    std::uint32_t acknowledged = 0; ///< The newest of the caller.
-    std::uint32_t sequence = 0;     ///< Of the newest data of the caller.
+    std::uint32_t upstream = 0;     ///< Index of the upstream's entry in the directory.
+    Cookie cookie;                  ///< The upstream's cookie, to detect that the index was reused.
+    std::uint32_t lastPacketAt = 0; ///< When its last packet arrived, in ms of `FlowTable::clock`.
+    std::uint32_t sentAt = 0;       ///< When its opening or its last request was first forwarded.
+    std::uint32_t acknowledged = 0; ///< The caller's newest acknowledgement number.
+    std::uint32_t sequence = 0;     ///< Sequence number of the caller's newest data.
     FlowStage stage = FlowStage::Free;
-    bool awaitsFirstRequest = false; ///< Opened by this host, and no request has arrived on it.
-    std::uint16_t life = 0;          ///< Of that upstream, to notice that it started again.
+    bool awaitsFirstRequest = false; ///< This host placed it and no request has arrived on it.
+    std::uint16_t life = 0;          ///< The upstream's `UpstreamEntry::life`, to detect a restart.
 };
 
 } // namespace flamingograde
--- a/src/core/packets/flowkey.h
+++ b/src/core/packets/flowkey.h
@@ -1,4 +1,4 @@
-/// Which flow a packet belongs to.
+/// Identity of a flow.
 #pragma once
 
 #include <flamingograde/packethead.h>
@@ -7,7 +7,7 @@
 
 namespace flamingograde {
 
-/// Both ends of a flow.
+/// Addresses and ports of both ends of a flow.
 struct FlowKey
 {
     std::uint32_t callerIp = 0;
@@ -15,20 +15,21 @@
     std::uint16_t callerPort = 0;
     std::uint16_t servicePort = 0;
 
-    /// Returns the flow of a caller's packet. Precondition: none. Thread safe.
+    /// Returns the key of the flow that a caller's packet belongs to. Precondition: none. Thread
+    /// safe.
     [[nodiscard]] static auto of(const PacketHead &head) -> FlowKey
     {
         return { head.caller.ip, head.service.ip, head.caller.port, head.service.port };
     }
 
-    /// Returns a well-mixed number of the flow, the same on every host. Precondition: none.
+    /// Returns a uniformly distributed hash, the same on every host. Precondition: none.
     [[nodiscard]] auto hash() const -> std::uint64_t
     {
         constexpr auto ipBits = 32U;
         constexpr auto portBits = 16U;
         constexpr auto shift = 32U;
         constexpr std::uint64_t first =
-                0x9e3779b97f4a7c15; // The golden ratio, as in Fibonacci hashing.
+                0x9e3779b97f4a7c15; // 2^64 divided by the golden ratio, as in Fibonacci hashing.
         constexpr std::uint64_t second = 0xbf58476d1ce4e5b9; // A multiplier of splitmix64.
         const auto ips = (static_cast<std::uint64_t>(this->callerIp) << ipBits) | this->serviceIp;
         const auto ports =
--- a/src/core/packets/flowowner.cpp
+++ b/src/core/packets/flowowner.cpp
@@ -1,4 +1,4 @@
-/// Reads bound cookies, and those of hosts that do not bind them.
+/// Look-up by cookies that are bound to an address, and by unbound ones of older versions.
 #include "core/packets/flowowner.h"
 
 #include "core/blackboard.h"
@@ -11,14 +11,15 @@
 
 namespace {
 
-auto hasHad(const RowEntry &row, const UpstreamEntry &entry) -> bool
+/// Returns whether a row has, or had, the service of an upstream.
+auto hasHadService(const RowEntry &row, const UpstreamEntry &entry) -> bool
 {
     const auto service = entry.record.upstream.service;
     return std::find(row.had.begin(), row.had.end(), service) != row.had.end();
 }
 
-/// Returns whether flows may be open that began before this host knew any row.
-auto remembersLittle(const Blackboard &board) -> bool
+/// Returns whether flows may still be open that began before this host had any rows.
+auto isHistoryIncomplete(const Blackboard &board) -> bool
 {
     return board.now.mono - board.directory.rowsSince() < config::tombstoneTime;
 }
@@ -29,11 +30,12 @@
         -> FlowOwner
 {
     if (const auto *entry = board.directory.byCookie(cookie.bound(address))) {
-        return { entry, hasHad(row, *entry) || remembersLittle(board) };
+        return { entry, hasHadService(row, *entry) || isHistoryIncomplete(board) };
     }
-    // Hosts of an older version write cookies that are not bound; they prove nothing.
+    // Hosts of an older version issue cookies that are not bound to an address. Such a cookie is no
+    // proof that the row had the service.
     const auto *entry = board.directory.byCookie(cookie);
-    return { entry, entry != nullptr && hasHad(row, *entry) };
+    return { entry, entry != nullptr && hasHadService(row, *entry) };
 }
 
 } // namespace flamingograde
--- a/src/core/packets/flowowner.h
+++ b/src/core/packets/flowowner.h
@@ -1,4 +1,4 @@
-/// Which upstream has an open flow.
+/// Look-up of the upstream that owns an open flow.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -10,21 +10,23 @@
 struct RowEntry;
 struct UpstreamEntry;
 
-/// The upstream that a flow's cookie names.
+/// The upstream that a flow's cookie identifies.
 struct FlowOwner
 {
-    const UpstreamEntry *entry = nullptr; ///< Null: no upstream that this host knows.
-    bool isOfRow = false; ///< Whether the flow's row has its service, or had it when it opened.
+    const UpstreamEntry *entry = nullptr; ///< Null: this host knows no such upstream.
+    /// Whether the flow's row has the upstream's service now, or may have had it at opening.
+    bool belongsToRow = false;
 };
 
-/// Returns the owner of a flow that is open at a row.
+/// Returns the owner of an open flow of a row.
 ///
 /// A row may have moved its weight to another service while the flow was open. A host that has had
-/// rows for longer than a flow lives remembers every service that they had. One that started later
-/// goes by the cookie: it names an upstream only at the address for which it was written. Guards
-/// open flows after a planned stop, and after all hosts lost their power at once, when nobody
-/// remembers: 2,314 packets of one minute of six hosts were dropped, each request until its
-/// deadline.
+/// rows for longer than a flow lives knows every service that they had in that time. A host that
+/// started more recently trusts the cookie instead, which identifies an upstream only at the
+/// address for which it was issued. This keeps flows open across a planned stop, and after all
+/// hosts lost power at once and none has the history: without it, six hosts dropped 2,314 packets
+/// in one minute, and each affected request failed only at its deadline.
+///
 /// Precondition: `row` is in force at `address`.
 [[nodiscard]] auto ownerOf(const Blackboard &board, const RowEntry &row, Address address,
                            Cookie cookie) -> FlowOwner;
--- a/src/core/packets/flowplacement.cpp
+++ b/src/core/packets/flowplacement.cpp
@@ -1,4 +1,4 @@
-/// Which upstreams a new flow may go to, in which order.
+/// Order in which services and upstreams are tried for a new flow.
 #include "core/packets/flowplacement.h"
 
 #include "core/blackboard.h"
@@ -22,10 +22,10 @@
         -> std::optional<std::uint32_t>
 {
     const auto &pool = board.directory.poolOf(service);
-    const auto leaves = isZoneCrowded(board, row, pool);
-    const auto &first = leaves ? pool.cold : pool.near;
-    const auto &second = leaves ? pool.far : pool.cold;
-    const auto &third = leaves ? pool.near : pool.far;
+    const auto prefersOtherZones = isZoneCrowded(board, row, pool);
+    const auto &first = prefersOtherZones ? pool.cold : pool.near;
+    const auto &second = prefersOtherZones ? pool.far : pool.cold;
+    const auto &third = prefersOtherZones ? pool.near : pool.far;
     for (const auto *candidates : { &first, &second, &third, &pool.silent }) {
         if (const auto chosen = choose(board, *candidates, flow)) {
             return chosen;
@@ -34,7 +34,7 @@
     return std::nullopt;
 }
 
-/// Returns the index of the share that a flow is drawn into by weight.
+/// Returns the index of the service share that a flow's hash selects, in proportion to the weights.
 auto drawShare(const std::vector<ServiceShare> &shares, std::uint64_t hash) -> std::size_t
 {
     std::uint64_t total = 0;
@@ -44,12 +44,12 @@
     if (total == 0) {
         return 0;
     }
-    auto left = hash % total;
+    auto remaining = hash % total;
     for (std::size_t i = 0; i < shares.size(); ++i) {
-        if (left < shares[i].weight) {
+        if (remaining < shares[i].weight) {
             return i;
         }
-        left -= shares[i].weight;
+        remaining -= shares[i].weight;
     }
     return 0;
 }
--- a/src/core/packets/flowtable.cpp
+++ b/src/core/packets/flowtable.cpp
@@ -1,4 +1,4 @@
-/// Look-ups in groups of eight neighbours.
+/// Look-up and replacement in groups of eight entries.
 #include "core/packets/flowtable.h"
 
 #include <new>
@@ -13,7 +13,7 @@
         "zeroed memory must stand for free entries");
 static_assert(static_cast<int>(FlowStage::Free) == 0, "zeroed entries must be free");
 
-/// Returns zeroed memory for so many entries.
+/// Returns zeroed memory for `count` entries, or null for 0. Throws `std::bad_alloc`.
 auto allocate(std::size_t count) -> FlowEntry *
 {
     if (count == 0) {
@@ -32,16 +32,16 @@
     : entries(allocate(capacity), &std::free), count(capacity)
 {}
 
-auto FlowTable::first(const FlowKey &key) const -> FlowEntry *
+auto FlowTable::groupOf(const FlowKey &key) const -> FlowEntry *
 {
-    const auto groups = this->count / neighbours;
-    return &this->entries[(key.hash() & (groups - 1)) * neighbours];
+    const auto groups = this->count / groupSize;
+    return &this->entries[(key.hash() & (groups - 1)) * groupSize];
 }
 
 auto FlowTable::search(const FlowKey &key) const -> FlowEntry *
 {
-    auto *group = this->first(key);
-    for (std::size_t i = 0; i < neighbours; ++i) {
+    auto *group = this->groupOf(key);
+    for (std::size_t i = 0; i < groupSize; ++i) {
         if (group[i].stage != FlowStage::Free && group[i].key == key) {
             return &group[i];
         }
@@ -51,14 +51,14 @@
 
 auto FlowTable::claim(const FlowKey &key) -> FlowEntry &
 {
-    auto *group = this->first(key);
+    auto *group = this->groupOf(key);
     auto *oldest = group;
-    for (std::size_t i = 0; i < neighbours; ++i) {
+    for (std::size_t i = 0; i < groupSize; ++i) {
         if (group[i].stage == FlowStage::Free) {
             return group[i];
         }
-        // A difference of wrapping times: the older one is negative.
-        if (static_cast<std::int32_t>(group[i].packetAt - oldest->packetAt) < 0) {
+        // The times wrap, so they are compared by the sign of their difference.
+        if (static_cast<std::int32_t>(group[i].lastPacketAt - oldest->lastPacketAt) < 0) {
             oldest = &group[i];
         }
     }
--- a/src/core/packets/flowwatch.cpp
+++ b/src/core/packets/flowwatch.cpp
@@ -1,4 +1,4 @@
-/// Stages of flows, and what they say of their upstreams.
+/// Transitions of tracked flows, and what they reveal about upstreams.
 #include "core/packets/flowwatch.h"
 
 #include "core/blackboard.h"
@@ -12,30 +12,31 @@
 
 namespace {
 
-/// Weight of a new measure in a mean: about the last ten count.
-constexpr auto gainDivisor = 10;
-/// Part of the flow table that is looked at in each tick: all of it in 64 ticks, 3.2 s.
-constexpr std::size_t sweepDivisor = 64;
+/// Divisor of a new sample's weight in a moving average, which spans about the last ten samples.
+constexpr auto meanDivisor = 10;
+/// Each tick checks this fraction of the flow table for expired requests: all of it in 64 ticks,
+/// 3.2 s.
+constexpr std::size_t ticksPerSweep = 64;
 
-auto isRunning(FlowStage stage) -> bool
+auto hasPendingRequest(FlowStage stage) -> bool
 {
     return stage != FlowStage::Free && stage != FlowStage::Idle;
 }
 
-/// Returns the entry that a flow belongs to, or null where its index was given to another, or its
-/// upstream started again since.
+/// Returns the directory entry of a flow's upstream, or null if the index was reused for another
+/// upstream or the upstream has restarted since.
 auto upstreamOf(Blackboard &board, const FlowEntry &flow) -> UpstreamEntry *
 {
     auto &entry = board.directory.at(flow.upstream);
     return entry.cookie == flow.cookie && entry.life == flow.life ? &entry : nullptr;
 }
 
-/// Moves a flow to another stage and counts requests under way.
-auto enter(Blackboard &board, FlowEntry &flow, FlowStage stage) -> void
+/// Moves a flow to another stage, and updates the counts of pending requests and of used entries.
+auto setStage(Blackboard &board, FlowEntry &flow, FlowStage stage) -> void
 {
     auto *entry = upstreamOf(board, flow);
-    if (entry != nullptr && isRunning(flow.stage) != isRunning(stage)) {
-        if (isRunning(stage)) {
+    if (entry != nullptr && hasPendingRequest(flow.stage) != hasPendingRequest(stage)) {
+        if (hasPendingRequest(stage)) {
             board.directory.beginRequest(*entry);
         } else {
             board.directory.endRequest(*entry);
@@ -46,17 +47,18 @@
     flow.stage = stage;
 }
 
-auto addSample(Duration &mean, std::uint32_t milliseconds) -> void
+/// Adds a sample to a moving average.
+auto addToMean(Duration &mean, std::uint32_t milliseconds) -> void
 {
     const Duration sample = std::chrono::milliseconds(milliseconds);
-    mean = mean == Duration(0) ? sample : mean + (sample - mean) / gainDivisor;
+    mean = mean == Duration(0) ? sample : mean + (sample - mean) / meanDivisor;
 }
 
-/// Gives a claimed entry to a flow.
+/// Assigns an entry to the flow of a packet, and stops tracking the flow that it held before.
 auto assign(Blackboard &board, FlowEntry &flow, const PacketHead &head, std::uint32_t upstream)
         -> void
 {
-    unwatch(board, flow);
+    stopTracking(board, flow);
     flow.key = FlowKey::of(head);
     flow.upstream = upstream;
     flow.cookie = board.directory.at(upstream).cookie;
@@ -66,34 +68,34 @@
     flow.awaitsFirstRequest = false;
 }
 
-/// Returns whether the last packet of a flow came here so long ago that others may have gone
-/// through another host: what this one acknowledges may be as old.
+/// Returns whether the flow's last packet arrived here so long ago that later ones may have passed
+/// through another host: an acknowledgement may then refer to data that was sent just as long ago.
 auto isStale(const Blackboard &board, const FlowEntry &flow) -> bool
 {
-    return FlowTable::clock(board.now.mono) - flow.packetAt >= config::signFresh.count();
+    return FlowTable::clock(board.now.mono) - flow.lastPacketAt >= config::signFresh.count();
 }
 
-/// Takes the first packet after the opening one: its upstream answered.
-auto takeAnswer(Blackboard &board, FlowEntry &flow, const PacketHead &head, std::uint32_t upstream)
-        -> void
+/// Handles the first packet after the opening one, which shows that the upstream answered.
+auto handleFirstAnswer(Blackboard &board, FlowEntry &flow, const PacketHead &head,
+                       std::uint32_t upstream) -> void
 {
-    const auto took = FlowTable::clock(board.now.mono) - flow.sentAt;
+    const auto elapsed = FlowTable::clock(board.now.mono) - flow.sentAt;
     if (flow.upstream != upstream) {
-        assign(board, flow, head, upstream); // A copy of the opening was answered first.
+        assign(board, flow, head, upstream); // Another copy of the opening was answered first.
     }
     if (!isStale(board, flow)) {
-        addSample(board.directory.at(upstream).evidence.handshake, took);
-        board.stats.handshakes.add(took);
-        noteSign(board, upstream);
-        noteAnswered(board, flow.sentAt);
+        addToMean(board.directory.at(upstream).evidence.handshake, elapsed);
+        board.stats.handshakes.add(elapsed);
+        recordHeard(board, upstream);
+        recordAnswered(board, flow.sentAt);
     }
     flow.acknowledged = head.acknowledged;
     flow.sequence = head.sequence;
-    enter(board, flow, FlowStage::Idle);
+    setStage(board, flow, FlowStage::Idle);
 }
 
-/// Takes a newer acknowledgement: the upstream sent something that reached the caller.
-auto takeProgress(Blackboard &board, FlowEntry &flow, const PacketHead &head) -> void
+/// Handles a newer acknowledgement, which shows that data of the upstream reached the caller.
+auto handleAcknowledgement(Blackboard &board, FlowEntry &flow, const PacketHead &head) -> void
 {
     const auto advance = static_cast<std::int32_t>(head.acknowledged - flow.acknowledged);
     if (!head.flags.acknowledges || advance <= 0) {
@@ -104,37 +106,37 @@
         return;
     }
     if (isStale(board, flow)) {
-        enter(board, flow, FlowStage::Idle);
+        setStage(board, flow, FlowStage::Idle);
         return;
     }
-    noteSign(board, flow.upstream);
+    recordHeard(board, flow.upstream);
     if (flow.stage != FlowStage::Idle) {
-        const auto took = FlowTable::clock(board.now.mono) - flow.sentAt;
-        addSample(board.directory.at(flow.upstream).evidence.response, took);
-        noteAnswered(board, flow.sentAt);
-        board.stats.responses.add(took);
-        enter(board, flow, FlowStage::Idle);
+        const auto elapsed = FlowTable::clock(board.now.mono) - flow.sentAt;
+        addToMean(board.directory.at(flow.upstream).evidence.response, elapsed);
+        recordAnswered(board, flow.sentAt);
+        board.stats.responses.add(elapsed);
+        setStage(board, flow, FlowStage::Idle);
     }
 }
 
-/// Takes a request that its caller sent again: nothing came within its resend time.
-/// @returns whether the request was not known to be overdue before.
-auto takeResend(Blackboard &board, FlowEntry &flow) -> bool
+/// Handles a retransmitted request: the caller got no acknowledgement within its resend time.
+/// @returns whether this is the first retransmission of the request.
+auto handleResend(Blackboard &board, FlowEntry &flow) -> bool
 {
     const auto sentFor = FlowTable::clock(board.now.mono) - flow.sentAt;
-    const auto isTrusted = board.now.mono >= board.packets.trustedFrom;
+    const auto isEvidenceValid = board.now.mono >= board.packets.evidenceValidFrom;
     auto *entry = upstreamOf(board, flow);
-    if (!isTrusted || entry == nullptr) {
+    if (!isEvidenceValid || entry == nullptr) {
         return false;
     }
     if (flow.stage == FlowStage::Waiting && sentFor >= config::resendTime.count()) {
-        enter(board, flow, FlowStage::Overdue);
-        noteUnanswered(board, flow.upstream, flow.sentAt);
+        setStage(board, flow, FlowStage::Overdue);
+        recordUnanswered(board, flow.upstream, flow.sentAt);
         return true;
     }
     if (flow.stage == FlowStage::Overdue && sentFor >= config::resendAgainTime.count()) {
-        enter(board, flow, FlowStage::Lost);
-        noteLost(board, *entry, flow.sentAt);
+        setStage(board, flow, FlowStage::Lost);
+        recordLostRequest(board, *entry, flow.sentAt);
     }
     return false;
 }
@@ -148,30 +150,31 @@
     }
 }
 
-/// Takes what a packet carries.
-auto takeData(Blackboard &board, FlowEntry &flow, const PacketHead &head) -> RequestSign
+/// Handles the data of a packet.
+auto handleData(Blackboard &board, FlowEntry &flow, const PacketHead &head) -> RequestEvidence
 {
     const auto advance = static_cast<std::int32_t>(head.sequence - flow.sequence);
     const auto isNew = advance > 0 || flow.stage == FlowStage::Idle;
     if (head.dataBytes == 0) {
-        return RequestSign::None;
+        return RequestEvidence::None;
     }
     if (!isNew) {
-        return takeResend(board, flow) ? RequestSign::Overdue : RequestSign::Asks;
+        return handleResend(board, flow) ? RequestEvidence::Overdue : RequestEvidence::Pending;
     }
     flow.sequence = head.sequence;
     if (flow.stage == FlowStage::Idle) {
         if (!std::exchange(flow.awaitsFirstRequest, false)) {
-            countAgainstColdLimit(board, flow); // The opening counted the first request.
+            countAgainstColdLimit(board, flow); // The first request was counted with the opening.
         }
         flow.sentAt = FlowTable::clock(board.now.mono);
-        enter(board, flow, FlowStage::Waiting);
+        setStage(board, flow, FlowStage::Waiting);
     }
-    return RequestSign::Asks;
+    return RequestEvidence::Pending;
 }
 
-/// Returns the watched flow of a packet, or null: packets without data begin no watch.
-auto flowOf(Blackboard &board, const PacketHead &head, std::uint32_t upstream) -> FlowEntry *
+/// Returns the flow of a packet, and starts to track it if need be. Returns null for a packet
+/// without data of a flow that is not tracked.
+auto findOrTrack(Blackboard &board, const PacketHead &head, std::uint32_t upstream) -> FlowEntry *
 {
     auto &flows = board.packets.flows;
     const auto key = FlowKey::of(head);
@@ -181,106 +184,109 @@
     }
     auto &claimed = flows.claim(key);
     assign(board, claimed, head, upstream);
-    enter(board, claimed, FlowStage::Idle);
+    setStage(board, claimed, FlowStage::Idle);
     return &claimed;
 }
 
-auto judgeOpening(Blackboard &board, const PendingOpening &opening) -> void
+/// Records an opening whose time is up if no second packet of its flow has arrived.
+auto recordIfUnanswered(Blackboard &board, const PendingOpening &opening) -> void
 {
     const auto &flow = board.packets.flows.at(opening.flow);
-    const auto waits = flow.stage == FlowStage::Opening && flow.sentAt == opening.sentAt
-                       && flow.upstream == opening.upstream;
-    if (waits) {
-        noteUnanswered(board, opening.upstream, opening.sentAt);
+    const auto isUnanswered = flow.stage == FlowStage::Opening && flow.sentAt == opening.sentAt
+                              && flow.upstream == opening.upstream;
+    if (isUnanswered) {
+        recordUnanswered(board, opening.upstream, opening.sentAt);
     }
 }
 
-auto reviewOpenings(Blackboard &board) -> void
+auto checkOpeningTimeouts(Blackboard &board) -> void
 {
-    constexpr auto patience = static_cast<std::uint32_t>(config::handshakePatience.count());
+    constexpr auto timeout = static_cast<std::uint32_t>(config::handshakePatience.count());
     auto &openings = board.packets.openings;
     const auto now = FlowTable::clock(board.now.mono);
     while (const auto *opening = openings.oldest()) {
-        if (now - opening->sentAt < patience) {
+        if (now - opening->sentAt < timeout) {
             return;
         }
         const auto due = *opening;
         openings.pop();
-        judgeOpening(board, due);
+        recordIfUnanswered(board, due);
     }
 }
 
-auto sweep(Blackboard &board) -> void
+/// Frees the entries of flows in the next part of the table whose requests have expired.
+auto expireRequests(Blackboard &board) -> void
 {
-    constexpr auto forget = static_cast<std::uint32_t>(config::busyForget.count());
+    constexpr auto expiry = static_cast<std::uint32_t>(config::busyForget.count());
     auto &packets = board.packets;
     const auto now = FlowTable::clock(board.now.mono);
-    const auto count = packets.flows.capacity() / sweepDivisor;
+    const auto count = packets.flows.capacity() / ticksPerSweep;
     for (std::size_t i = 0; i < count; ++i) {
-        auto &flow = packets.flows.at(packets.swept);
-        packets.swept = (packets.swept + 1) % packets.flows.capacity();
-        if (isRunning(flow.stage) && now - flow.packetAt >= forget) {
-            unwatch(board, flow);
+        auto &flow = packets.flows.at(packets.nextToCheck);
+        packets.nextToCheck = (packets.nextToCheck + 1) % packets.flows.capacity();
+        if (hasPendingRequest(flow.stage) && now - flow.lastPacketAt >= expiry) {
+            stopTracking(board, flow);
         }
     }
 }
 
 } // namespace
 
-auto watchOpening(Blackboard &board, FlowEntry &flow, const PacketHead &head,
+auto trackOpening(Blackboard &board, FlowEntry &flow, const PacketHead &head,
                   std::uint32_t upstream) -> void
 {
     assign(board, flow, head, upstream);
     flow.awaitsFirstRequest = true;
     countAgainstColdLimit(board, flow);
     flow.sentAt = FlowTable::clock(board.now.mono);
-    flow.packetAt = flow.sentAt;
-    enter(board, flow, FlowStage::Opening);
-    if (board.now.mono >= board.packets.trustedFrom) {
+    flow.lastPacketAt = flow.sentAt;
+    setStage(board, flow, FlowStage::Opening);
+    if (board.now.mono >= board.packets.evidenceValidFrom) {
         board.packets.openings.push({ board.packets.flows.indexOf(flow), upstream, flow.sentAt });
     }
 }
 
-auto watchPacket(Blackboard &board, const PacketHead &head, std::uint32_t upstream) -> RequestSign
+auto trackPacket(Blackboard &board, const PacketHead &head, std::uint32_t upstream)
+        -> RequestEvidence
 {
-    auto *flow = flowOf(board, head, upstream);
+    auto *flow = findOrTrack(board, head, upstream);
     if (flow == nullptr) {
-        return RequestSign::None;
+        return RequestEvidence::None;
     }
     if (head.flags.resets) {
-        unwatch(board, *flow);
-        return RequestSign::None;
+        stopTracking(board, *flow);
+        return RequestEvidence::None;
     }
     if (flow->stage == FlowStage::Opening) {
-        takeAnswer(board, *flow, head, upstream);
+        handleFirstAnswer(board, *flow, head, upstream);
     } else {
-        takeProgress(board, *flow, head);
+        handleAcknowledgement(board, *flow, head);
     }
-    const auto sign = takeData(board, *flow, head);
-    flow->packetAt = FlowTable::clock(board.now.mono);
+    const auto evidence = handleData(board, *flow, head);
+    flow->lastPacketAt = FlowTable::clock(board.now.mono);
     if (head.flags.finishes) {
-        unwatch(board, *flow);
+        stopTracking(board, *flow);
     }
-    return sign;
+    return evidence;
 }
 
-auto unwatch(Blackboard &board, FlowEntry &flow) -> void
+auto stopTracking(Blackboard &board, FlowEntry &flow) -> void
 {
     if (flow.stage != FlowStage::Free) {
-        enter(board, flow, FlowStage::Free);
+        setStage(board, flow, FlowStage::Free);
     }
 }
 
-auto reviewFlows(Blackboard &board) -> void
+auto checkFlowTimeouts(Blackboard &board) -> void
 {
-    reviewOpenings(board);
-    sweep(board);
+    checkOpeningTimeouts(board);
+    expireRequests(board);
 }
 
-auto distrustOpenings(Blackboard &board) -> void
+auto suspendEvidence(Blackboard &board) -> void
 {
     board.packets.openings.clear();
-    board.packets.trustedFrom = board.now.mono + config::distrustTime;
+    board.packets.evidenceValidFrom = board.now.mono + config::distrustTime;
 }
 
 } // namespace flamingograde
--- a/src/core/packets/flowwatch.h
+++ b/src/core/packets/flowwatch.h
@@ -1,4 +1,4 @@
-/// Learns load and signs of life of upstreams from callers' packets.
+/// Tracks flows, to learn the load and health of upstreams from callers' packets.
 #pragma once
 
 #include "core/packets/flowentry.h"
@@ -11,33 +11,36 @@
 
 class Blackboard;
 
-/// What a packet of an open flow says of a request.
-enum class RequestSign : std::uint8_t {
-    None,    ///< It has no data, or its flow is not watched.
-    Asks,    ///< Data of a request that waits for its answer.
-    Overdue, ///< The same, and the first to show that its caller sent the request again.
+/// What a packet of an open flow reveals about a request.
+enum class RequestEvidence : std::uint8_t {
+    None,    ///< It has no data, or its flow is not tracked.
+    Pending, ///< It carries data of a request that awaits its answer.
+    Overdue, ///< Like the above, and it is the first retransmission of the request.
 };
 
-/// Watches the flow of an opening packet that is forwarded to the upstream at `upstream`.
-/// Precondition: `flow` is in the table under the packet's key, or was claimed for it.
-auto watchOpening(Blackboard &board, FlowEntry &flow, const PacketHead &head,
+/// Starts to track the flow of an opening packet that is forwarded to the upstream at directory
+/// index `upstream`. Precondition: `flow` is in the table under the packet's key, or was claimed
+/// for it.
+auto trackOpening(Blackboard &board, FlowEntry &flow, const PacketHead &head,
                   std::uint32_t upstream) -> void;
 
-/// Takes a later packet of a flow that is forwarded to the upstream at `upstream`.
-/// Precondition: the packet opens nothing.
-/// @returns what it says of a request.
-auto watchPacket(Blackboard &board, const PacketHead &head, std::uint32_t upstream) -> RequestSign;
+/// Updates the flow of a later packet, which is forwarded to the upstream at directory index
+/// `upstream`. Precondition: the packet is not an opening packet.
+/// @returns what the packet reveals about a request.
+auto trackPacket(Blackboard &board, const PacketHead &head, std::uint32_t upstream)
+        -> RequestEvidence;
 
-/// Ends the watch of a flow: its request, if any, is no longer counted.
-auto unwatch(Blackboard &board, FlowEntry &flow) -> void;
+/// Stops tracking a flow and frees its entry; its pending request, if any, is no longer counted.
+auto stopTracking(Blackboard &board, FlowEntry &flow) -> void;
 
-/// Judges openings that were not answered in time, and forgets requests without packets.
-/// Precondition: to be called on each `Tick`, after the packets that came before it.
-auto reviewFlows(Blackboard &board) -> void;
+/// Records openings that were not answered in time, and stops counting requests whose flow has had
+/// no packets for `config::busyForget`.
+/// Precondition: to be called on each `Tick`, after the packets that arrived before it.
+auto checkFlowTimeouts(Blackboard &board) -> void;
 
-/// Forgets what waits for an answer, and takes no opening of the next `config::distrustTime` for
-/// evidence: the process was paused or has just begun to read, and callers of packets that waited
-/// may have given up.
-auto distrustOpenings(Blackboard &board) -> void;
+/// Discards the pending openings, and ignores unanswered openings and resends as evidence for
+/// `config::distrustTime`. Called when the process was paused or has just begun to read packets:
+/// callers whose packets waited in the buffer may have given up.
+auto suspendEvidence(Blackboard &board) -> void;
 
 } // namespace flamingograde
--- a/src/core/packets/lostrequests.h
+++ b/src/core/packets/lostrequests.h
@@ -1,4 +1,4 @@
-/// Requests that an upstream left unanswered, and when.
+/// Times of the requests that an upstream left unanswered.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -9,14 +9,15 @@
 
 namespace flamingograde {
 
-/// The newest `config::lostFlows` requests that were sent three times without an answer.
+/// The newest `config::lostFlows` requests that callers sent three times without an answer.
 ///
-/// What rests on them is as old as the oldest one: a single new one does not renew old word.
+/// A conclusion drawn from them is only as recent as the oldest of them: a single new lost request
+/// does not make older ones recent again.
 /// @remarks Not thread safe.
 class LostRequests
 {
 public:
-    /// Takes one more. Precondition: `now` is not before that of the last call.
+    /// Records a lost request. Precondition: `now` is not before that of the last call.
     auto add(MonoTime now) -> void
     {
         for (auto i = this->times.size() - 1; i > 0; --i) {
@@ -25,11 +26,12 @@
         this->times.front() = now;
     }
 
-    /// Forgets all. Precondition: none.
+    /// Removes all. Precondition: none.
     auto clear() -> void { this->times = {}; }
 
-    /// Returns when the oldest was found, or nothing where there are fewer. Precondition: none.
-    [[nodiscard]] auto provenAt() const -> std::optional<MonoTime> { return this->times.back(); }
+    /// Returns when the oldest of `config::lostFlows` requests was recorded, or nothing if there
+    /// are fewer. Precondition: none.
+    [[nodiscard]] auto oldestAt() const -> std::optional<MonoTime> { return this->times.back(); }
 
 private:
     std::array<std::optional<MonoTime>, config::lostFlows> times; ///< The newest first.
--- a/src/core/packets/openingqueue.h
+++ b/src/core/packets/openingqueue.h
@@ -1,4 +1,4 @@
-/// Openings that wait for a second packet of their flow.
+/// Queue of openings that wait for a second packet of their flow.
 #pragma once
 
 #include <array>
@@ -15,12 +15,13 @@
     std::uint32_t sentAt = 0;   ///< In ms of `FlowTable::clock`.
 };
 
-/// A queue of fixed size in the order of sending; what does not fit is not watched.
+/// A queue of fixed size in the order of forwarding. An opening that does not fit is dropped, so it
+/// is never counted as unanswered by a time-out.
 /// @remarks Not thread safe. Does not allocate.
 class OpeningQueue
 {
 public:
-    /// Appends an opening; drops it where the queue is full. Precondition: none.
+    /// Appends an opening; drops it if the queue is full. Precondition: none.
     auto push(PendingOpening opening) -> void
     {
         if (this->count < this->ring.size()) {
@@ -32,17 +33,18 @@
     {
         return this->count == 0 ? nullptr : &this->ring[this->head];
     }
-    /// Drops the oldest. Precondition: there is one.
+    /// Removes the oldest. Precondition: the queue is not empty.
     auto pop() -> void
     {
         this->head = (this->head + 1) % this->ring.size();
         --this->count;
     }
-    /// Drops all. Precondition: none.
+    /// Removes all. Precondition: none.
     auto clear() -> void { this->count = 0; }
 
 private:
-    /// Openings of 60 ms: 4,000 new flows a second and more at the design size's 62 a host.
+    /// Holds the openings of 60 ms at more than 4,000 new flows a second; at the design size a host
+    /// gets 62 a second.
     static constexpr std::size_t capacity = 256;
 
     std::array<PendingOpening, capacity> ring;
--- a/src/core/packets/packetcontroller.cpp
+++ b/src/core/packets/packetcontroller.cpp
@@ -1,4 +1,4 @@
-/// Ticks of the packet path.
+/// Periodic work of the packet path.
 #include "core/packets/packetcontroller.h"
 
 #include "core/blackboard.h"
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// A tick later than this says that the process did not run: what waited for an answer then may
-/// have been answered.
-constexpr Duration lateTick = config::tickPeriod + config::handshakePatience;
+/// A longer time between two ticks means that the process was paused: openings that were pending
+/// then may have been answered, and those answers may still be unread.
+constexpr Duration tickGapMax = config::tickPeriod + config::handshakePatience;
 
 } // namespace
 
@@ -24,11 +24,11 @@
     }
     const auto sinceTick = board.now.mono - this->lastTick;
     this->lastTick = board.now.mono;
-    if (sinceTick > lateTick) {
-        distrustOpenings(board);
+    if (sinceTick > tickGapMax) {
+        suspendEvidence(board);
     }
-    reviewFlows(board);
-    reviewColdUpstreams(board);
+    checkFlowTimeouts(board);
+    updateColdLimits(board);
     for (auto &note : board.notes) {
         board.act(std::move(note));
     }
--- a/src/core/packets/packetcontroller.h
+++ b/src/core/packets/packetcontroller.h
@@ -1,4 +1,4 @@
-/// The part of the packet path that runs with events rather than packets.
+/// Periodic work of the packet path.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -8,12 +8,13 @@
 
 class Blackboard;
 
-/// Reviews what waits for an answer, and writes down what packets changed.
+/// Checks time-outs and cold limits on each tick, and passes on the log entries that packets
+/// caused.
 /// @remarks Not thread safe.
 class PacketController
 {
 public:
-    /// Takes one event. Precondition: `board.now` is the time of it.
+    /// Handles an event; all but `Tick` are ignored. Precondition: `board.now` is the event's time.
     auto handle(Blackboard &board, const Event &event) -> void;
 
 private:
--- a/src/core/packets/packetdump.cpp
+++ b/src/core/packets/packetdump.cpp
@@ -1,4 +1,4 @@
-/// Writes the directory as JSON, and explains by its entries.
+/// JSON views of the directory and of placement, for operators.
 #include "core/packets/packetdump.h"
 
 #include "core/blackboard.h"
@@ -30,7 +30,7 @@
     return "removed";
 }
 
-/// Returns how long ago a time was, or null for never.
+/// Returns the milliseconds since `time`, or null if it was never set.
 auto ageJson(const Blackboard &board, MonoTime time) -> json
 {
     return time == MonoTime() ? json() : json(milliseconds(board.now.mono - time));
@@ -69,14 +69,15 @@
              { "busy_here", evidence.busy },
              { "silent", evidence.isSilent() },
              { "silent_ms_ago", ageJson(board, evidence.silentSince.value_or(MonoTime())) },
-             { "lost_ms_ago", ageJson(board, evidence.lost.provenAt().value_or(MonoTime())) },
+             { "lost_ms_ago", ageJson(board, evidence.lost.oldestAt().value_or(MonoTime())) },
              { "unanswered", evidence.unanswered },
              { "heard_ms_ago", ageJson(board, evidence.heard) },
              { "handshake_ms", milliseconds(evidence.handshake) },
              { "response_ms", milliseconds(evidence.response) } };
 }
 
-auto readCookie(const std::string &text) -> std::optional<Cookie>
+/// Returns the cookie that a decimal text stands for, or nothing if it is malformed.
+auto parseCookie(const std::string &text) -> std::optional<Cookie>
 {
     Cookie cookie;
     const auto *end = text.data() + text.size();
@@ -89,21 +90,21 @@
 
 auto explainOpenFlow(const Blackboard &board, const RowEntry &row, const std::string &text) -> json
 {
-    const auto cookie = readCookie(text);
+    const auto cookie = parseCookie(text);
     if (!cookie) {
         return { { "why", "the cookie is not a number of 32 bits" }, { "verdict", "drop" } };
     }
-    const auto [entry, isOfRow] = ownerOf(board, row, row.row->address, *cookie);
+    const auto [entry, belongsToRow] = ownerOf(board, row, row.row->address, *cookie);
     if (entry == nullptr) {
         return { { "why", "no upstream that this host knows has the cookie" },
                  { "verdict", "drop" } };
     }
     json answer { { "upstream", upstreamJson(board, *entry) } };
-    if (!isOfRow) {
+    if (!belongsToRow) {
         answer["why"] = "the cookie's upstream is of a service that the row never had";
         answer["verdict"] = "drop";
     } else if (entry->presence == Presence::Removed) {
-        answer["why"] = "the upstream has left for good";
+        answer["why"] = "the upstream has left the directory";
         answer["verdict"] = "reset";
     } else {
         answer["why"] = "the cookie names the upstream";
@@ -112,8 +113,8 @@
     return answer;
 }
 
-/// Returns why an entry takes no new flows, or an empty text.
-auto whyClosed(const Blackboard &board, const UpstreamEntry &entry) -> std::string
+/// Returns why an upstream takes no new flows, or an empty text if it does.
+auto closedReason(const Blackboard &board, const UpstreamEntry &entry) -> std::string
 {
     if (entry.presence == Presence::Removed) {
         return "removed";
@@ -154,11 +155,12 @@
                                    { "near", entry.isNear },
                                    { "busy_here", entry.evidence.busy },
                                    { "slots", upstream.slots },
-                                   { "closed", whyClosed(board, entry) } });
+                                   { "closed", closedReason(board, entry) } });
         }
     }
-    return { { "why", "the service by weight; of its open upstreams the least busy for its slots, "
-                      "of the own zone unless that is crowded" },
+    return { { "why",
+               "the service is drawn by weight; of its upstreams open to new flows the one least "
+               "busy for its slots is chosen, in this zone unless that is crowded" },
              { "verdict", "forward" },
              { "candidates", candidates } };
 }
--- a/src/core/packets/packetdump.h
+++ b/src/core/packets/packetdump.h
@@ -1,4 +1,4 @@
-/// What a host says of its directory and of where flows would go.
+/// JSON views of the directory and of placement, for operators.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -11,11 +11,12 @@
 
 class Blackboard;
 
-/// Returns rows and upstreams with what this host holds of them. Precondition: none.
+/// Returns the rows and upstreams as this host knows them, with their load and health.
+/// Precondition: none.
 [[nodiscard]] auto directoryJson(const Blackboard &board) -> nlohmann::json;
 
-/// Says where a packet to `address` would go now, and why.
-/// @param cookie as the log writes it; empty for a flow that is to be opened.
+/// Explains where a packet to `address` would go now, and why.
+/// @param cookie in decimal, as in the log; empty for a flow that is yet to be opened.
 /// Changes nothing. Precondition: none.
 [[nodiscard]] auto explainPacket(const Blackboard &board, Address address,
                                  const std::string &cookie) -> nlohmann::json;
--- a/src/core/packets/packetnote.cpp
+++ b/src/core/packets/packetnote.cpp
@@ -1,4 +1,4 @@
-/// What the log says of a packet.
+/// Log text for a packet.
 #include "core/packets/packetnote.h"
 
 #include "core/blackboard.h"
@@ -18,18 +18,19 @@
         text += " zone=" + entry->record.upstream.zoneName
                 + " busy=" + std::to_string(entry->evidence.busy)
                 + " slots=" + std::to_string(entry->record.upstream.slots)
-                + " heard_ms_ago=" + heardAgo(board.now.mono, entry->evidence);
+                + " heard_ms_ago=" + heardAgoText(board.now.mono, entry->evidence);
     }
     return text;
 }
 
-auto ageOf(const Blackboard &board, std::optional<MonoTime> since) -> std::string
+/// Returns the milliseconds since a time, or "never".
+auto ageText(const Blackboard &board, std::optional<MonoTime> since) -> std::string
 {
     return since ? std::to_string(milliseconds(board.now.mono - *since)) : "never";
 }
 
-/// Returns the upstream of a flow that is reset, and how old the evidence against it is.
-auto describeLost(const Blackboard &board, const RowEntry &row, const PacketHead &head)
+/// Describes the upstream of a flow that is reset, with the age of the evidence that it is silent.
+auto describeSilentUpstream(const Blackboard &board, const RowEntry &row, const PacketHead &head)
         -> std::string
 {
     const auto *entry = ownerOf(board, row, head.service, head.cookie).entry;
@@ -39,12 +40,12 @@
     const auto &upstream = entry->record.upstream;
     const auto &evidence = entry->evidence;
     return " upstream=" + hexOf(upstream.instance) + "@" + upstream.address.toString()
-           + " lost_ms_ago=" + ageOf(board, evidence.lost.provenAt())
-           + " silent_ms_ago=" + ageOf(board, evidence.silentSince)
-           + " heard_ms_ago=" + heardAgo(board.now.mono, evidence);
+           + " lost_ms_ago=" + ageText(board, evidence.lost.oldestAt())
+           + " silent_ms_ago=" + ageText(board, evidence.silentSince)
+           + " heard_ms_ago=" + heardAgoText(board.now.mono, evidence);
 }
 
-/// Returns since when the request of a flow is under way.
+/// Describes how long ago the pending request of a flow was first forwarded.
 auto describeRequest(const Blackboard &board, const PacketHead &head) -> std::string
 {
     const auto *flow = board.packets.flows.find(FlowKey::of(head));
@@ -67,7 +68,7 @@
         text += describeTarget(board, decision.targets[i]);
     }
     if (decision.reason == PacketReason::UpstreamSilent && row != nullptr) {
-        text += describeLost(board, *row, head);
+        text += describeSilentUpstream(board, *row, head);
     }
     if (decision.reason == PacketReason::SteeredOverdue) {
         text += describeRequest(board, head);
--- a/src/core/packets/packetnote.h
+++ b/src/core/packets/packetnote.h
@@ -1,4 +1,4 @@
-/// What the log says of a packet.
+/// Log text for a packet.
 #pragma once
 
 #include <flamingograde/packetdecision.h>
@@ -10,9 +10,9 @@
 
 class Blackboard;
 
-/// Returns the inputs of a decision and its outcome as `key=value` words: row, reason, upstreams
-/// with their load, and the version and age of what decided.
-/// Precondition: the decision was made last, on this blackboard.
+/// Returns a decision and its inputs as `key=value` words: reason, row, upstreams with their load,
+/// and the version and age of the configuration that it was based on.
+/// Precondition: `decision` is the last one made on this blackboard.
 [[nodiscard]] auto describePacket(const Blackboard &board, const PacketHead &head,
                                   const PacketDecision &decision) -> std::string;
 
--- a/src/core/packets/packetreason.cpp
+++ b/src/core/packets/packetreason.cpp
@@ -1,4 +1,4 @@
-/// The names of reasons.
+/// Names of packet reasons.
 #include <flamingograde/packetdecision.h>
 
 #include <array>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// In the order of `PacketReason`.
+/// Names in the order of the values of `PacketReason`.
 constexpr std::array<std::string_view, 13> names {
     "steered",          "steered-overdue",   "placed",
     "placed-elsewhere", "placed-on-trial",   "no-row",
--- a/src/core/packets/packetstate.h
+++ b/src/core/packets/packetstate.h
@@ -1,4 +1,4 @@
-/// What the packet path keeps beside the directory.
+/// State of the packet path outside the directory.
 #pragma once
 
 #include "core/packets/flowchoice.h"
@@ -12,25 +12,25 @@
 
 namespace flamingograde {
 
-/// Flows, openings that wait for an answer, and when packets came.
+/// Tracked flows, pending openings, and the times of recent packets and answers.
 /// @remarks Not thread safe.
 struct PacketState
 {
-    /// @param flowsTracked flows that are watched; 0: no packets are carried.
+    /// @param flowsTracked capacity of the flow table; 0: this host does not carry packets.
     /// @param policy how new flows are placed.
     PacketState(std::size_t flowsTracked, PacketPolicy policy)
-        : choice(choiceOf(policy)), flows(flowsTracked)
+        : choice(flowChoiceOf(policy)), flows(flowsTracked)
     {}
 
     FlowChoice choice; ///< How new flows are placed.
     FlowTable flows;
     OpeningQueue openings;
-    MonoTime lastPacket;     ///< When a packet last came.
-    MonoTime trustedFrom;    ///< Openings before this may have waited: their callers may have left.
-    MonoTime lastSign;       ///< When any upstream last showed life.
-    MonoTime lastAnswered;   ///< When the newest opening or request that was answered was sent.
-    MonoTime answeredSince;  ///< Since when such were sent without a gap of `config::answerGap`.
-    std::uint32_t swept = 0; ///< The next entry of `flows` to be looked at for a forgotten request.
+    MonoTime lastPacket;         ///< When the last packet arrived.
+    MonoTime evidenceValidFrom;  ///< Before this, packets may have waited and are no evidence.
+    MonoTime lastHeard;          ///< When any upstream was last heard.
+    MonoTime lastAnsweredSentAt; ///< When the newest answered opening or request was sent.
+    MonoTime answeredSince;      ///< Since when such were sent less than `config::answerGap` apart.
+    std::uint32_t nextToCheck = 0; ///< Index of the flow to check next for an expired request.
 };
 
 } // namespace flamingograde
--- a/src/core/packets/packetsteering.cpp
+++ b/src/core/packets/packetsteering.cpp
@@ -1,4 +1,4 @@
-/// Steers by cookie, places new flows, resets what cannot be served.
+/// Steers packets by cookie, places new flows, and resets flows that cannot be served.
 #include "core/packets/packetsteering.h"
 
 #include "core/blackboard.h"
@@ -20,7 +20,7 @@
     return decision;
 }
 
-/// Resets a flow; a packet that is a reset itself is dropped.
+/// Answers a packet by a reset; a packet that is itself a reset is dropped.
 auto reset(const PacketHead &head, PacketReason reason) -> PacketDecision
 {
     auto decision = drop(reason);
@@ -45,41 +45,41 @@
     return decision;
 }
 
-/// Returns whether the flags do not go together.
+/// Returns whether the packet's flags contradict each other or its data.
 auto isMalformed(const PacketHead &head) -> bool
 {
     const auto &flags = head.flags;
-    const auto opensAndMore =
+    const auto opensWithExtras =
             flags.opens && (flags.finishes || flags.resets || head.dataBytes != 0);
-    return flags.returned || opensAndMore;
+    return flags.returned || opensWithExtras;
 }
 
-/// Returns the entry for a flow in the table, claimed for it if it has none.
+/// Returns the flow's entry in the table; claims one if `known` is null.
 auto entryFor(Blackboard &board, FlowEntry *known, const FlowKey &key) -> FlowEntry &
 {
     return known != nullptr ? *known : board.packets.flows.claim(key);
 }
 
-/// Takes a copy of an opening packet for evidence: its caller says that nothing came within its
-/// resend time, unless both packets waited here.
-auto noteCopy(Blackboard &board, const FlowEntry &flow) -> void
+/// Records a copy of an opening packet as evidence that the upstream did not answer within the
+/// caller's resend time. Copies that may have waited in this host's buffer do not count.
+auto recordUnansweredCopy(Blackboard &board, const FlowEntry &flow) -> void
 {
     const auto sentFor = FlowTable::clock(board.now.mono) - flow.sentAt;
-    const auto isTrusted = board.now.mono >= board.packets.trustedFrom;
-    if (isTrusted && sentFor >= config::handshakePatience.count()) {
-        noteUnanswered(board, flow.upstream, flow.sentAt);
+    const auto isEvidenceValid = board.now.mono >= board.packets.evidenceValidFrom;
+    if (isEvidenceValid && sentFor >= config::handshakePatience.count()) {
+        recordUnanswered(board, flow.upstream, flow.sentAt);
     }
 }
 
-/// Returns whether a copy of a flow's opening may go to the upstream of the first one, which may
-/// have begun to drain or had its zone evacuated in the meantime.
+/// Returns whether a copy of a flow's opening packet may go to the upstream of the previous one,
+/// which may have begun to drain or whose zone may have been evacuated in the meantime.
 auto mayTakeCopy(const Blackboard &board, const FlowEntry &flow) -> bool
 {
     const auto &entry = board.directory.at(flow.upstream);
     return entry.cookie == flow.cookie && board.directory.acceptsOpening(entry);
 }
 
-auto place(Blackboard &board, const RowEntry &row, const PacketHead &head) -> PacketDecision
+auto placeNewFlow(Blackboard &board, const RowEntry &row, const PacketHead &head) -> PacketDecision
 {
     const auto key = FlowKey::of(head);
     auto *known = board.packets.flows.find(key);
@@ -89,7 +89,7 @@
     }
     NewFlow flow { key.hash(), std::nullopt };
     if (isCopy) {
-        noteCopy(board, *known);
+        recordUnansweredCopy(board, *known);
         flow.avoid = known->upstream;
     }
     auto chosen = placeFlow(board, row, flow);
@@ -99,13 +99,13 @@
     if (!chosen) {
         return reset(head, PacketReason::NoUpstream);
     }
-    watchOpening(board, entryFor(board, known, key), head, *chosen);
+    trackOpening(board, entryFor(board, known, key), head, *chosen);
     auto &entry = board.directory.at(*chosen);
     auto decision = forward(entry, head,
                             head.copy > 0 ? PacketReason::PlacedElsewhere : PacketReason::Placed);
     if (head.copy == 0) {
         const auto &pool = board.directory.poolOf(entry.record.upstream.service);
-        const auto trial = takeTrial(board, pool);
+        const auto trial = startDueTrial(board, pool);
         if (trial && *trial != *chosen) {
             decision.reason = PacketReason::PlacedOnTrial;
             addTarget(board.directory.at(*trial), head, decision);
@@ -114,26 +114,27 @@
     return decision;
 }
 
-auto follow(Blackboard &board, const RowEntry &row, const PacketHead &head) -> PacketDecision
+auto steerOpenFlow(Blackboard &board, const RowEntry &row, const PacketHead &head) -> PacketDecision
 {
-    const auto [entry, isOfRow] = ownerOf(board, row, head.service, head.cookie);
+    const auto [entry, belongsToRow] = ownerOf(board, row, head.service, head.cookie);
     if (entry == nullptr) {
         return drop(PacketReason::CookieUnknown);
     }
-    if (!isOfRow) {
+    if (!belongsToRow) {
         return drop(PacketReason::CookieOfAnother);
     }
     if (entry->presence == Presence::Removed) {
         return reset(head, PacketReason::UpstreamGone);
     }
-    const auto sign = watchPacket(board, head, board.directory.indexOf(*entry));
-    // A caller that may repeat its request does so at once on a new flow; one that may not would
-    // win nothing, as its flow was open. Gains requests in the seconds in which an upstream that
-    // died without a word is still listed.
-    if (sign != RequestSign::None && row.row->idempotent && isLost(board, *entry)) {
+    const auto evidence = trackPacket(board, head, board.directory.indexOf(*entry));
+    // After a reset, a caller whose request is idempotent repeats it at once on a new flow. A
+    // caller that must not repeat its request gains nothing from a reset, as the request may have
+    // reached the upstream. The reset saves requests in the seconds in which an upstream that
+    // crashed is still listed.
+    if (evidence != RequestEvidence::None && row.row->idempotent && isPresumedDead(board, *entry)) {
         return reset(head, PacketReason::UpstreamSilent);
     }
-    const auto isOverdue = sign == RequestSign::Overdue;
+    const auto isOverdue = evidence == RequestEvidence::Overdue;
     return forward(*entry, head, isOverdue ? PacketReason::SteeredOverdue : PacketReason::Steered);
 }
 
@@ -144,11 +145,11 @@
     }
     const auto *row = board.directory.rowAt(head.service);
     if (row == nullptr) {
-        // Until it has rows for the first time, this host cannot tell whether the row is gone.
+        // Before this host has its first rows, it cannot tell whether the row was removed.
         const auto hasRows = board.directory.rows() != nullptr;
         return hasRows ? reset(head, PacketReason::NoRow) : drop(PacketReason::NoRow);
     }
-    return head.flags.opens ? place(board, *row, head) : follow(board, *row, head);
+    return head.flags.opens ? placeNewFlow(board, *row, head) : steerOpenFlow(board, *row, head);
 }
 
 } // namespace
@@ -156,7 +157,7 @@
 auto steerPacket(Blackboard &board, const PacketHead &head) -> PacketDecision
 {
     if (board.packets.lastPacket == MonoTime()) {
-        distrustOpenings(board);
+        suspendEvidence(board);
     }
     board.packets.lastPacket = board.now.mono;
     const auto decision = decide(board, head);
--- a/src/core/packets/packetsteering.h
+++ b/src/core/packets/packetsteering.h
@@ -1,4 +1,4 @@
-/// What becomes of each packet.
+/// Decision on each packet.
 #pragma once
 
 #include <flamingograde/packetdecision.h>
@@ -8,9 +8,9 @@
 
 class Blackboard;
 
-/// Decides on one packet and takes what it shows.
-/// Precondition: `board.now` is the time at which it came, and packets are carried. Does not
-/// allocate, but for a note where a belief changes.
+/// Decides where one packet goes, and updates the state of its flow and upstream.
+/// Precondition: `board.now` is the time at which it arrived, and this host carries packets. Does
+/// not allocate, except for a log entry when an upstream becomes silent or is heard again.
 [[nodiscard]] auto steerPacket(Blackboard &board, const PacketHead &head) -> PacketDecision;
 
 } // namespace flamingograde
--- a/src/core/packets/silence.cpp
+++ b/src/core/packets/silence.cpp
@@ -1,4 +1,4 @@
-/// Evidence of silence and its end.
+/// Evidence that upstreams have become silent or answer again.
 #include "core/packets/silence.h"
 
 #include "core/blackboard.h"
@@ -13,7 +13,8 @@
 
 namespace {
 
-auto silence(Blackboard &board, UpstreamEntry &entry) -> void
+/// Marks an upstream as silent and schedules its first trial.
+auto markSilent(Blackboard &board, UpstreamEntry &entry) -> void
 {
     auto &evidence = entry.evidence;
     evidence.silentSince = board.now.mono;
@@ -24,25 +25,26 @@
     board.notes.push_back({ LogEvent::UpstreamSilent,
                             describeUpstream(entry)
                                     + " unanswered=" + std::to_string(evidence.unanswered)
-                                    + " heard_ms_ago=" + heardAgo(board.now.mono, evidence) });
+                                    + " heard_ms_ago=" + heardAgoText(board.now.mono, evidence) });
 }
 
-auto hear(Blackboard &board, UpstreamEntry &entry) -> void
+/// Counts and logs that a silent upstream was heard again.
+auto reportHeardAgain(Blackboard &board, UpstreamEntry &entry) -> void
 {
     ++board.stats.upstreamsHeardAgain;
     board.directory.touchPools();
     board.notes.push_back({ LogEvent::UpstreamHeard, describeUpstream(entry) });
 }
 
-/// Returns whether what was sent at `sent` says something of the upstream as it is listed now: one
-/// that registered again lives, whatever was lost before.
-auto isOfListing(const UpstreamEntry &entry, MonoTime sent) -> bool
+/// Returns whether something sent at `sent` is evidence about the upstream as it is listed now: an
+/// upstream that has registered again since is alive, even if earlier requests were lost.
+auto concernsListing(const UpstreamEntry &entry, MonoTime sent) -> bool
 {
     return entry.presence != Presence::Listed || sent >= entry.since;
 }
 
-/// Returns when something was sent whose time is `sentAt` of `FlowTable::clock`.
-auto timeOf(const Blackboard &board, std::uint32_t sentAt) -> MonoTime
+/// Converts `sentAt`, a time of `FlowTable::clock`, to a time of the monotonic clock.
+auto monoTimeOf(const Blackboard &board, std::uint32_t sentAt) -> MonoTime
 {
     const auto sentFor = FlowTable::clock(board.now.mono) - sentAt;
     return board.now.mono - std::chrono::milliseconds(sentFor);
@@ -50,7 +52,7 @@
 
 } // namespace
 
-auto heardAgo(MonoTime now, const UpstreamEvidence &evidence) -> std::string
+auto heardAgoText(MonoTime now, const UpstreamEvidence &evidence) -> std::string
 {
     if (evidence.heard == MonoTime()) {
         return "never";
@@ -58,68 +60,68 @@
     return std::to_string(milliseconds(now - evidence.heard));
 }
 
-auto noteSign(Blackboard &board, std::uint32_t upstream) -> void
+auto recordHeard(Blackboard &board, std::uint32_t upstream) -> void
 {
     auto &entry = board.directory.at(upstream);
     const auto wasSilent = entry.evidence.isSilent();
     entry.evidence.heard = board.now.mono;
     entry.evidence.forgetSilence();
-    board.packets.lastSign = board.now.mono;
+    board.packets.lastHeard = board.now.mono;
     if (wasSilent) {
-        hear(board, entry);
+        reportHeardAgain(board, entry);
     }
 }
 
-auto noteAnswered(Blackboard &board, std::uint32_t sentAt) -> void
+auto recordAnswered(Blackboard &board, std::uint32_t sentAt) -> void
 {
-    const auto sent = timeOf(board, sentAt);
+    const auto sent = monoTimeOf(board, sentAt);
     if (board.now.mono - sent >= config::resendTime) {
-        return; // Its caller may have sent it again, through another host.
+        return; // Its caller may have resent it through another host.
     }
     auto &packets = board.packets;
-    if (sent - packets.lastAnswered >= config::answerGap) {
+    if (sent - packets.lastAnsweredSentAt >= config::answerGap) {
         packets.answeredSince = sent;
     }
-    packets.lastAnswered = std::max(packets.lastAnswered, sent);
+    packets.lastAnsweredSentAt = std::max(packets.lastAnsweredSentAt, sent);
 }
 
-auto noteLost(Blackboard &board, UpstreamEntry &entry, std::uint32_t sentAt) -> void
+auto recordLostRequest(Blackboard &board, UpstreamEntry &entry, std::uint32_t sentAt) -> void
 {
-    const auto sent = timeOf(board, sentAt);
+    const auto sent = monoTimeOf(board, sentAt);
     const auto &packets = board.packets;
-    const auto reachesOthers =
-            packets.answeredSince <= sent && packets.lastAnswered >= sent + config::resendTime;
-    if (reachesOthers && isOfListing(entry, sent)) {
+    const auto reachesOthers = packets.answeredSince <= sent
+                               && packets.lastAnsweredSentAt >= sent + config::resendTime;
+    if (reachesOthers && concernsListing(entry, sent)) {
         entry.evidence.lost.add(board.now.mono);
     }
 }
 
-auto noteUnanswered(Blackboard &board, std::uint32_t upstream, std::uint32_t sentAt) -> void
+auto recordUnanswered(Blackboard &board, std::uint32_t upstream, std::uint32_t sentAt) -> void
 {
     auto &entry = board.directory.at(upstream);
     ++board.stats.openingsUnanswered;
-    if (!isOfListing(entry, timeOf(board, sentAt))) {
+    if (!concernsListing(entry, monoTimeOf(board, sentAt))) {
         return;
     }
     ++entry.evidence.unanswered;
-    const auto signAge = FlowTable::clock(board.packets.lastSign) - sentAt;
-    const auto othersAnswer = static_cast<std::int32_t>(signAge) > 0;
+    const auto heardDelay = FlowTable::clock(board.packets.lastHeard) - sentAt;
+    const auto othersHeardSince = static_cast<std::int32_t>(heardDelay) > 0;
     if (!entry.evidence.isSilent() && entry.evidence.unanswered >= config::silentOpenings
-        && othersAnswer) {
-        silence(board, entry);
+        && othersHeardSince) {
+        markSilent(board, entry);
     }
 }
 
-auto isLost(const Blackboard &board, const UpstreamEntry &entry) -> bool
+auto isPresumedDead(const Blackboard &board, const UpstreamEntry &entry) -> bool
 {
     const auto &evidence = entry.evidence;
-    const auto provenAt = evidence.lost.provenAt();
-    const auto isFresh = provenAt && board.now.mono - *provenAt < config::lostFresh;
+    const auto oldestAt = evidence.lost.oldestAt();
+    const auto isFresh = oldestAt && board.now.mono - *oldestAt < config::lostFresh;
     return evidence.isSilent() && isFresh && entry.isNear
-           && board.now.mono >= board.packets.trustedFrom;
+           && board.now.mono >= board.packets.evidenceValidFrom;
 }
 
-auto takeTrial(Blackboard &board, const ServicePool &pool) -> std::optional<std::uint32_t>
+auto startDueTrial(Blackboard &board, const ServicePool &pool) -> std::optional<std::uint32_t>
 {
     for (const auto index : pool.silent) {
         auto &entry = board.directory.at(index);
--- a/src/core/packets/zonespill.cpp
+++ b/src/core/packets/zonespill.cpp
@@ -1,4 +1,4 @@
-/// When new flows leave the own availability zone.
+/// Decision to send new flows to other availability zones.
 #include "core/packets/zonespill.h"
 
 #include "core/blackboard.h"
@@ -14,8 +14,8 @@
     const auto hosts = board.membership.candidates(board.init.self.zone).size();
     const auto requests = static_cast<double>(pool.nearBusy)
                           * static_cast<double>(std::max<std::size_t>(hosts, 1));
-    const auto isLarge = row.kind == RequestKind::Upload;
-    const auto limit = isLarge ? config::crowdedUploads : config::crowdedRequests;
+    const auto isUpload = row.kind == RequestKind::Upload;
+    const auto limit = isUpload ? config::crowdedUploads : config::crowdedRequests;
     return requests >= limit * pool.nearSlots;
 }
 
--- a/tests/unit/coldsharingtest.cpp
+++ b/tests/unit/coldsharingtest.cpp
@@ -19,12 +19,12 @@
 constexpr double limitPerSecond = 3;
 constexpr Duration coldTime = 6s;
 
-auto isNearLive(std::uint64_t instance) -> bool
+auto isLiveOfZoneA(std::uint64_t instance) -> bool
 {
     return instance == 1 || instance == 2 || instance == 3;
 }
 
-/// A host of zone "a", which has the given hosts; "live" has a cold limit.
+/// A host of zone "a", whose hosts are `zoneHosts`; the service "live" has a cold limit.
 class ColdBoard : public PacketBoard
 {
 public:
@@ -53,7 +53,7 @@
         this->take(update);
     }
 
-    /// Announces that the near upstreams of "live" have just started.
+    /// Updates the directory: the upstreams of "live" in zone "a" have just started.
     auto restartNearUpstreams() -> void
     {
         DirectoryUpdate update;
@@ -67,16 +67,16 @@
         this->take(update);
     }
 
-    /// Sends an opening packet every 2 ms for a time. @returns how many went to near upstreams.
+    /// Sends an opening packet every 2 ms for `duration`. @returns how largeZone went to zone "a".
     auto sendOpenings(Duration duration) -> std::size_t
     {
         std::size_t cold = 0;
         const auto end = this->board.now.mono + duration;
         while (this->board.now.mono < end) {
-            this->pass(2ms);
+            this->advance(2ms);
             const auto decision = this->open(++this->port);
             const auto isForwarded = decision.verdict == PacketVerdict::Forward;
-            cold += isForwarded && isNearLive(decision.targets[0].instance.value()) ? 1 : 0;
+            cold += isForwarded && isLiveOfZoneA(decision.targets[0].instance.value()) ? 1 : 0;
             if (isForwarded) { // Its upstream answers, and the caller closes the flow.
                 auto head = following(this->port, decision.targets[0].cookie, feedAddress);
                 head.flags.finishes = true;
@@ -94,16 +94,16 @@
 
 } // namespace
 
-TEST_CASE("a cold upstream gets requests up to its limit, and other zones get the rest", "[cold]")
+TEST_CASE("cold upstreams get requests up to their limit and other zones get the rest", "[cold]")
 {
     ColdBoard host("h1", { "h1" });
     CHECK(host.sendOpenings(500ms) > 0);
     host.restartNearUpstreams();
-    // At most the rate and one full bucket for each of three upstreams over three seconds.
+    // At most three seconds of the rate and one full bucket for each of the three upstreams.
     const auto cold = host.sendOpenings(3s);
     CHECK(cold <= 3 * (3 * limitPerSecond + 1));
     CHECK(cold >= 2 * 3 * limitPerSecond);
-    host.pass(coldTime);
+    host.advance(coldTime);
     CHECK(host.board.directory.coldLimitedCount() == 0);
     CHECK(host.sendOpenings(500ms) > 100);
 }
@@ -128,18 +128,18 @@
     CHECK(all >= 2 * 3 * limitPerSecond);
 }
 
-TEST_CASE("two hosts that both regard themselves as owner stay below the bound", "[cold]")
+TEST_CASE("two hosts that both consider themselves owner stay below the bound together", "[cold]")
 {
-    // Neither host knows the other, as in a network partition of the zone.
-    std::size_t inOneSecond = 0;
+    // Neither host knows the other, as during a network partition of the zone.
+    std::size_t sentInOneSecond = 0;
     for (const auto *name : { "h1", "h2" }) {
         ColdBoard host(name, { name });
         host.restartNearUpstreams();
         host.sendOpenings(1s);
-        inOneSecond += host.sendOpenings(1s);
+        sentInOneSecond += host.sendOpenings(1s);
     }
     constexpr double bound = limitPerSecond * 1.5 + 5;
-    CHECK(inOneSecond <= 3 * bound);
+    CHECK(sentInOneSecond <= 3 * bound);
 }
 
 TEST_CASE("a host that has just started owns no cold upstream", "[cold]")
@@ -151,7 +151,7 @@
     CHECK(host.sendOpenings(1s) > 0);
 }
 
-TEST_CASE("cold upstreams of other zones get no flows, and a flow without an upstream is refused",
+TEST_CASE("cold upstreams of other zones get no new flows, and a flow without an upstream is reset",
           "[cold]")
 {
     ColdBoard host("h1", { "h1" });
@@ -172,7 +172,7 @@
     CHECK(fourth.reason == PacketReason::NoUpstream);
     for (const auto &decision : { first, second, third }) {
         CHECK((decision.verdict == PacketVerdict::Reset
-               || isNearLive(decision.targets[0].instance.value())));
+               || isLiveOfZoneA(decision.targets[0].instance.value())));
     }
 }
 
@@ -180,7 +180,7 @@
 {
     ColdBoard host("h1", { "h1" });
     host.restartNearUpstreams();
-    host.pass(2s);
+    host.advance(2s);
     auto &entry = host.entry(1);
     REQUIRE(entry.allowance.hasToken());
     const auto cookie = Cookie::of(InstanceId(1));
@@ -190,7 +190,9 @@
     CHECK_FALSE(entry.allowance.hasToken());
 }
 
-TEST_CASE("after an evacuation upstreams count as cold until a new record says otherwise", "[cold]")
+TEST_CASE("upstreams are cold after an evacuation, until a record without warm-up or the cold time "
+          "ends it",
+          "[cold]")
 {
     ColdBoard host("h1", { "h1" });
     host.evacuate("a", 21);
@@ -207,18 +209,18 @@
     host.take(warm);
     CHECK(host.board.directory.coldLimitedCount() == 2);
     CHECK_FALSE(host.entry(2).isColdLimited);
-    host.pass(coldTime);
+    host.advance(coldTime);
     CHECK(host.board.directory.coldLimitedCount() == 0);
 }
 
-TEST_CASE("with equal parts a cold upstream of a large zone gets nothing within its cold time",
+TEST_CASE("an equal split between 18 hosts gives a cold upstream no request within its cold time",
           "[cold]")
 {
-    std::vector<std::string> many;
+    std::vector<std::string> largeZone;
     for (int i = 0; i < 18; ++i) {
-        many.push_back("h" + std::to_string(i));
+        largeZone.push_back("h" + std::to_string(i));
     }
-    ColdBoard host("h1", many, ColdPolicy::Split);
+    ColdBoard host("h1", largeZone, ColdPolicy::Split);
     host.restartNearUpstreams();
     CHECK(host.sendOpenings(5s) == 0);
 }
--- a/tests/unit/flowtest.cpp
+++ b/tests/unit/flowtest.cpp
@@ -1,4 +1,5 @@
-/// Flows keep their upstream, whichever host their packets come to and whatever those know.
+/// Tests that flows keep their upstream, whichever host their requests reach and whichever table
+/// that host has.
 #include "core/requests/token.h"
 #include "sampletable.h"
 #include "virtualfleet.h"
@@ -17,7 +18,7 @@
     { "a1", "a" }, { "a2", "a" }, { "b1", "b" }, { "b2", "b" }, { "c1", "c" }, { "c2", "c" },
 };
 
-/// Returns `sampleTable` with pa1 draining, pb4 new and another signing key.
+/// Returns `sampleTable` with pa1 draining, pb4 added and another signing key.
 auto editedTable() -> std::string
 {
     auto text = rowsText("12");
@@ -31,6 +32,7 @@
     return text + upstreamText("ia1", "intake", "a", 21) + upstreamText("ib1", "intake", "b", 22);
 }
 
+/// Opens a feed at a host, with a flow's token or none, and waits 50 ms for the outcome.
 auto feedAt(VirtualFleet &fleet, std::size_t host, const std::string &token) -> ExchangeId
 {
     const auto id = fleet.call(host, feedAddress, token);
@@ -40,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("each packet of a flow at a random host of differing views keeps its upstream")
+TEST_CASE("requests of a flow at random hosts with different tables reach the flow's upstream")
 {
     VirtualFleet fleet(sixHosts, sampleTable());
     fleet.settle();
@@ -52,7 +54,7 @@
         flows[flow] = { fleet.result(id).token, fleet.feeds.at(id).upstream };
     }
     fleet.blind = { 0, 3 };
-    fleet.mute = { 0, 3 }; // These two keep the old table and the old key.
+    fleet.mute = { 0, 3 }; // These two hosts keep the old table and signing key.
     fleet.publish(editedTable());
     fleet.advance(200ms);
     REQUIRE(fleet.host(0).stats().revision == 1);
@@ -68,14 +70,15 @@
             fleet.give(host, CallerLeft { id });
         }
     }
-    const auto newer = fleet.result(feedAt(fleet, 1, {})).token; // Under a key unknown to host 0.
+    const auto newer =
+            fleet.result(feedAt(fleet, 1, {})).token; // Signed with a key unknown to host 0.
     const auto id = feedAt(fleet, 0, newer);
     REQUIRE(fleet.result(id).refusal);
     CHECK(fleet.result(id).refusal->reason == RefusalReason::BadToken);
-    CHECK(fleet.result(id).refusal->retryAfter > 0ms); // The key may just be published.
+    CHECK(fleet.result(id).refusal->retryAfter > 0ms); // The key may have just been published.
 }
 
-TEST_CASE("an idempotent flow's requests keep their upstream until it drains")
+TEST_CASE("requests of an idempotent flow keep their upstream at every host")
 {
     VirtualFleet fleet(sixHosts, sampleTable());
     fleet.settle();
@@ -92,7 +95,7 @@
     CHECK(fleet.runs.size() == 7);
 }
 
-TEST_CASE("tokens that are forged, of another service or stale are refused, not steered")
+TEST_CASE("tokens that are forged, of another service or of a removed upstream are refused")
 {
     VirtualFleet fleet({ { "a1", "a" } }, sampleTable());
     fleet.settle();
@@ -122,7 +125,8 @@
     CHECK(fleet.runs.empty());
 }
 
-TEST_CASE("a flow whose upstream drains goes on there, and starts anew once that is gone")
+TEST_CASE(
+        "a flow stays at a draining upstream, and its token is refused as stale once that is gone")
 {
     VirtualFleet fleet(sixHosts, sampleTable());
     fleet.settle();
@@ -151,11 +155,11 @@
     removed.erase(at, removed.find("[[upstream]]", at + 1) - at);
     fleet.publish(removed);
     fleet.advance(1s);
-    CHECK(fleet.result(feed).answered); // Ended at an event's boundary.
+    CHECK(fleet.result(feed).answered); // The feed ended between two events.
     CHECK_FALSE(fleet.result(feed).aborted);
 }
 
-TEST_CASE("a feed that loses its upstream opens again there, after growing pauses")
+TEST_CASE("a feed that loses its connection is reopened at the same upstream, with back-off")
 {
     VirtualFleet fleet({ { "a1", "a" } }, sampleTable());
     fleet.settle();
@@ -173,7 +177,7 @@
     CHECK(fleet.host(0).stats().feeds == 1);
 }
 
-TEST_CASE("a new feed whose upstream cannot be reached goes to the next")
+TEST_CASE("a new feed whose upstream cannot be reached is opened at another one")
 {
     VirtualFleet fleet({ { "a1", "a" } }, sampleTable());
     fleet.settle();
@@ -190,7 +194,7 @@
     CHECK(headed > 10);
 }
 
-TEST_CASE("feeds follow the connections of the table")
+TEST_CASE("feeds are spread in proportion to the connections set in the table")
 {
     auto text = rowsText() + upstreamText("ia1", "intake", "a", 9);
     for (int i = 1; i <= 3; ++i) {
--- a/tests/unit/packetboard.h
+++ b/tests/unit/packetboard.h
@@ -1,4 +1,4 @@
-/// A blackboard with a small directory, for tests of the packet path without a network.
+/// Test fixture: a blackboard with a small directory, for the packet path without a network.
 #pragma once
 
 #include "core/blackboard.h"
@@ -17,7 +17,7 @@
 inline const Address feedAddress { 0xc6120001, 8443 };
 inline const Address papersAddress { 0xc6120002, 8443 };
 
-/// Returns an upstream's record.
+/// Returns the directory record of an active upstream.
 inline auto record(std::uint64_t instance, const std::string &service, const std::string &zone,
                    std::uint64_t changed) -> DirectoryRecord
 {
@@ -48,7 +48,7 @@
     return row;
 }
 
-/// Returns rows that changed at a revision.
+/// Returns a set of rows that changed at revision `changed`.
 inline auto packetRows(std::uint64_t changed, std::vector<PacketRow> list)
         -> std::shared_ptr<const PacketRows>
 {
@@ -59,14 +59,15 @@
     return rows;
 }
 
-/// Returns the rows of the feed and of papers.
+/// Returns the rows "feed" and "papers", changed at revision `changed`.
 inline auto bothRows(std::uint64_t changed) -> std::shared_ptr<const PacketRows>
 {
     return packetRows(changed, { packetRow("feed", feedAddress, "live"),
                                  packetRow("papers", papersAddress, "papers") });
 }
 
-/// A host in zone "a" that knows two rows, three live upstreams near, one far, and one for papers.
+/// A host in zone "a" with two rows. The service "live" has upstreams 1 to 3 in zone "a" and 4 in
+/// zone "b"; the service "papers" has upstream 5 in zone "a".
 class PacketBoard
 {
 public:
@@ -79,10 +80,10 @@
                            record(3, "live", "a", 4), record(4, "live", "b", 5),
                            record(5, "papers", "a", 6) };
         this->take(update);
-        // The first packet begins the time in which openings are no evidence.
+        // The first packet starts the period in which unanswered openings do not count.
         this->board.now.mono += std::chrono::seconds(100);
         this->acknowledge(60000, Cookie::of(InstanceId(1)));
-        this->pass(config::distrustTime);
+        this->advance(config::distrustTime);
     }
 
     auto take(const DirectoryUpdate &update) -> void
@@ -90,7 +91,7 @@
         this->board.directory.take(update, this->board.now.mono);
     }
 
-    /// Takes other rows, as changed at revision 12.
+    /// Replaces the rows at revision 12. Precondition: the directory is at revision 10.
     auto takeRows(std::vector<PacketRow> rows) -> void
     {
         DirectoryUpdate update;
@@ -110,8 +111,8 @@
         this->take(update);
     }
 
-    /// Lets time pass in ticks.
-    auto pass(Duration duration) -> void
+    /// Advances the clock by `duration` in ticks, and collects the log events of each tick.
+    auto advance(Duration duration) -> void
     {
         const auto end = this->board.now.mono + duration;
         while (this->board.now.mono < end) {
@@ -136,13 +137,14 @@
         return this->steer(opening(port, service, copy));
     }
 
-    /// Sends the second packet of a flow: its upstream answered.
+    /// Sends the second packet of a flow, which shows that its upstream answered.
     auto acknowledge(std::uint16_t port, Cookie cookie, Address service = feedAddress)
             -> PacketDecision
     {
         return this->steer(following(port, cookie, service));
     }
 
+    /// Returns an opening packet.
     static auto opening(std::uint16_t port, Address service, std::uint32_t copy) -> PacketHead
     {
         PacketHead head;
@@ -154,6 +156,7 @@
         return head;
     }
 
+    /// Returns a packet of an open flow, without data.
     static auto following(std::uint16_t port, Cookie cookie, Address service) -> PacketHead
     {
         PacketHead head;
@@ -166,6 +169,7 @@
         return head;
     }
 
+    /// Returns an upstream's entry. Precondition: it is in the directory.
     [[nodiscard]] auto entry(std::uint64_t instance) -> UpstreamEntry &
     {
         return *this->board.directory.byCookie(Cookie::of(InstanceId(instance)));
--- a/tests/unit/packetdumptest.cpp
+++ b/tests/unit/packetdumptest.cpp
@@ -1,4 +1,4 @@
-/// What a host says of its directory, and how it explains where packets go.
+/// Tests of the directory dump and of the explanation of packet decisions.
 #include "packetboard.h"
 
 #include "core/dump.h"
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a dump names rows and upstreams of packets with their load", "[dump]")
+TEST_CASE("a dump lists packet rows and upstreams with their load", "[dump]")
 {
     PacketBoard host;
     host.open(7, papersAddress);
@@ -40,7 +40,8 @@
     CHECK(papers.at("presence") == "listed");
 }
 
-TEST_CASE("a dump names evacuated zones, and explains why their upstreams are closed", "[dump]")
+TEST_CASE("a dump lists evacuated zones, and an explanation says why their upstreams are closed",
+          "[dump]")
 {
     PacketBoard host;
     host.evacuate("a", 11);
@@ -54,7 +55,7 @@
     CHECK(statsOf(host.board).zonesEvacuated == 1);
 }
 
-TEST_CASE("a new flow is explained by all upstreams of its services", "[dump]")
+TEST_CASE("the explanation of a new flow lists all upstreams of its services", "[dump]")
 {
     PacketBoard host;
     host.entry(3).evidence.silentSince = host.board.now.mono;
@@ -68,7 +69,7 @@
     CHECK(explain(host, { 1, 2 }).at("refused") == "unknown-service");
 }
 
-TEST_CASE("an open flow is explained by its cookie as its packets are decided", "[dump]")
+TEST_CASE("the explanation of an open flow gives the verdict that its packets get", "[dump]")
 {
     PacketBoard host;
     const auto verdict = [&host](Address address, const std::string &cookie) {
--- a/tests/unit/packetsteeringtest.cpp
+++ b/tests/unit/packetsteeringtest.cpp
@@ -1,4 +1,4 @@
-/// What becomes of each packet: steering, placing, resets, drops.
+/// Tests of packet decisions: steering, placement, resets and drops.
 #include "packetboard.h"
 
 #include <catch2/catch.hpp>
@@ -22,7 +22,8 @@
 
 } // namespace
 
-TEST_CASE("a new flow goes to an upstream of the own zone, with its cookie", "[packets]")
+TEST_CASE("a new flow goes to an upstream of the host's zone, with that upstream's bound cookie",
+          "[packets]")
 {
     PacketBoard host;
     std::set<std::uint64_t> used;
@@ -39,7 +40,8 @@
     CHECK(used == std::set<std::uint64_t> { 1, 2, 3 });
 }
 
-TEST_CASE("flows are spread evenly in the zone until three wait for a slot, then to others",
+TEST_CASE("new flows are spread evenly in the zone up to three requests per slot, then go to other "
+          "zones",
           "[packets]")
 {
     PacketBoard host;
@@ -51,12 +53,12 @@
     for (std::uint16_t port = 19; port <= 60; ++port) {
         CHECK(instanceOf(host.open(port)) == 4);
     }
-    // As soon as fewer wait the own zone is used again.
+    // Once fewer requests are pending, the host's zone is used again.
     host.acknowledge(1, Cookie::of(InstanceId(1)));
     CHECK(instanceOf(host.open(61)) < 4);
 }
 
-TEST_CASE("uploads stay in the zone until four wait for a slot", "[packets]")
+TEST_CASE("uploads stay in the zone up to four requests per slot", "[packets]")
 {
     PacketBoard host;
     auto row = packetRow("papers", papersAddress, "live");
@@ -68,7 +70,8 @@
     CHECK(instanceOf(host.open(25, papersAddress)) == 4);
 }
 
-TEST_CASE("a host of many takes its own requests for a part of the zone's", "[packets]")
+TEST_CASE("a host multiplies its own requests by the hosts of its zone to detect crowding",
+          "[packets]")
 {
     PacketBoard host;
     auto &membership = host.board.membership;
@@ -81,14 +84,15 @@
     membership.touch();
     membership.refresh();
     host.board.init.self.zone = ZoneId::ofName("a");
-    // Six of this host's requests stand for eighteen of the zone, which has six slots.
+    // With three hosts, six requests of this one count as eighteen for the zone's six slots.
     for (std::uint16_t port = 1; port <= 6; ++port) {
         CHECK(instanceOf(host.open(port)) < 4);
     }
     CHECK(instanceOf(host.open(7)) == 4);
 }
 
-TEST_CASE("an evacuated zone keeps open flows, and new flows and copies go to other zones",
+TEST_CASE("an evacuated zone keeps its open flows, and new flows and opening copies go to other "
+          "zones",
           "[packets]")
 {
     PacketBoard host;
@@ -104,7 +108,7 @@
     CHECK(instanceOf(open) == 2);
 }
 
-TEST_CASE("a new flow and a copy of an opening are reset while every zone is evacuated",
+TEST_CASE("new flows and copies of opening packets are reset while all zones are evacuated",
           "[packets]")
 {
     PacketBoard host;
@@ -117,11 +121,11 @@
     const auto refused = host.open(8);
     CHECK(refused.verdict == PacketVerdict::Reset);
     CHECK(refused.reason == PacketReason::NoUpstream);
-    // If the first packet was lost, a copy would open a new flow in the evacuated zone.
+    // If the first packet was lost, the copy would open a new flow in an evacuated zone.
     CHECK(host.open(7, feedAddress, 1).verdict == PacketVerdict::Reset);
 }
 
-TEST_CASE("a host that has no rows yet drops packets of open flows and resets new flows",
+TEST_CASE("a host that has no rows yet drops packets of open flows and opening packets",
           "[packets]")
 {
     Init init;
@@ -138,7 +142,7 @@
     CHECK(opening.reason == PacketReason::NoRow);
 }
 
-TEST_CASE("the cookie steers a packet on a host that never saw its flow", "[packets]")
+TEST_CASE("a host that never saw a flow steers its packets by their cookie", "[packets]")
 {
     PacketBoard host;
     const auto decision = host.acknowledge(9, Cookie::of(InstanceId(4)));
@@ -148,7 +152,7 @@
     CHECK(decision.targets[0].address == host.entry(4).record.upstream.address);
 }
 
-TEST_CASE("a forged, stale or foreign cookie reaches nobody", "[packets]")
+TEST_CASE("packets with an unknown cookie, none or one of another service are dropped", "[packets]")
 {
     PacketBoard host;
     const auto unknown = host.acknowledge(9, Cookie { 0xdeadbeef });
@@ -161,7 +165,7 @@
     CHECK(foreign.reason == PacketReason::CookieOfAnother);
 }
 
-TEST_CASE("no packet reaches a service that its row never had", "[packets]")
+TEST_CASE("no packet with a forged cookie reaches a service that its row never had", "[packets]")
 {
     PacketBoard host;
     for (std::uint64_t cookie = 0; cookie < 2000; ++cookie) {
@@ -177,7 +181,7 @@
     }
 }
 
-TEST_CASE("an open flow stays where it is when its row gets another service", "[packets]")
+TEST_CASE("an open flow keeps its upstream when its row moves to another service", "[packets]")
 {
     PacketBoard host;
     host.takeRows({ packetRow("feed", feedAddress, "papers") });
@@ -185,7 +189,7 @@
     CHECK(instanceOf(host.open(10)) == 5);
 }
 
-TEST_CASE("an address without a row is answered by a reset at once", "[packets]")
+TEST_CASE("packets to an address without a row are reset, and resets are dropped", "[packets]")
 {
     PacketBoard host;
     const Address other { 0xc6120009, 8443 };
@@ -198,7 +202,7 @@
     CHECK(host.steer(reset).verdict == PacketVerdict::Drop);
 }
 
-TEST_CASE("a flow that nothing can serve is reset at once", "[packets]")
+TEST_CASE("a new or open flow whose only upstream was removed is reset", "[packets]")
 {
     PacketBoard host;
     DirectoryUpdate update;
@@ -209,13 +213,13 @@
     const auto decision = host.open(9, papersAddress);
     CHECK(decision.verdict == PacketVerdict::Reset);
     CHECK(decision.reason == PacketReason::NoUpstream);
-    // An open flow of the upstream that is gone is told so.
+    // An open flow of the removed upstream is reset, too.
     const auto open = host.acknowledge(8, Cookie::of(InstanceId(5)), papersAddress);
     CHECK(open.verdict == PacketVerdict::Reset);
     CHECK(open.reason == PacketReason::UpstreamGone);
 }
 
-TEST_CASE("upstreams that are only missing get new flows like the others", "[packets]")
+TEST_CASE("missing upstreams that may register again get new flows like others", "[packets]")
 {
     PacketBoard host;
     DirectoryUpdate update;
@@ -231,7 +235,7 @@
     CHECK(placed == std::map<std::uint64_t, int> { { 1, 5 }, { 2, 5 }, { 3, 5 } });
 }
 
-TEST_CASE("an upstream that is only missing keeps its flows and serves as a last resort",
+TEST_CASE("a missing upstream keeps its open flows and takes new ones if it is the only one",
           "[packets]")
 {
     PacketBoard host;
@@ -255,7 +259,7 @@
         CHECK(copy.reason == PacketReason::PlacedElsewhere);
         CHECK(instanceOf(copy) != first);
     }
-    // The only upstream gets the copy, too.
+    // Without another upstream, the copy goes to the same one.
     CHECK(instanceOf(host.open(31, papersAddress)) == 5);
     CHECK(instanceOf(host.open(31, papersAddress, 1)) == 5);
 }
@@ -270,7 +274,7 @@
     CHECK(copy.reason == PacketReason::AlreadyOpen);
 }
 
-TEST_CASE("flags that do not go together are dropped", "[packets]")
+TEST_CASE("packets with contradictory flags are dropped", "[packets]")
 {
     PacketBoard host;
     auto both = PacketBoard::opening(9, feedAddress, 0);
@@ -287,7 +291,7 @@
     CHECK(host.steer(returned).verdict == PacketVerdict::Drop);
 }
 
-TEST_CASE("a caller's reset reaches its upstream", "[packets]")
+TEST_CASE("a caller's reset is forwarded to its upstream", "[packets]")
 {
     PacketBoard host;
     auto reset = PacketBoard::following(9, Cookie::of(InstanceId(2)), feedAddress);
@@ -313,7 +317,8 @@
     CHECK(papers < flows / 4 + 120);
 }
 
-TEST_CASE("a service of weight 0 gets no new flows, even as the last one left", "[packets]")
+TEST_CASE("a service of weight 0 gets no new flows, even if no other service can take them",
+          "[packets]")
 {
     PacketBoard host;
     auto row = packetRow("papers", papersAddress, "papers");
@@ -323,7 +328,7 @@
     CHECK(host.open(9, papersAddress).verdict == PacketVerdict::Reset);
 }
 
-TEST_CASE("the load of an upstream is that of the requests under way", "[packets]")
+TEST_CASE("the load of an upstream is the number of its pending openings and requests", "[packets]")
 {
     PacketBoard host;
     const auto opened = host.open(7);
@@ -337,7 +342,7 @@
     request.sequence += 300;
     request.dataBytes = 0;
     request.acknowledged += 1000;
-    host.pass(20ms);
+    host.advance(20ms);
     host.steer(request);
     CHECK(entry.evidence.busy == 0);
     CHECK(entry.evidence.response == 20ms);
@@ -350,17 +355,18 @@
     CHECK(host.board.packets.flows.used == 0);
 }
 
-TEST_CASE("a request without packets is not counted for ever", "[packets]")
+TEST_CASE("a pending request stops counting after its flow had no packets for the expiry time",
+          "[packets]")
 {
     PacketBoard host;
     const auto opened = host.open(7);
     auto &entry = host.entry(instanceOf(opened));
     CHECK(entry.evidence.busy == 1);
-    host.pass(config::busyForget + 4s);
+    host.advance(config::busyForget + 4s);
     CHECK(entry.evidence.busy == 0);
 }
 
-TEST_CASE("a full flow table forgets the oldest flow and its load", "[packets]")
+TEST_CASE("a full flow table replaces the oldest flow and stops counting its load", "[packets]")
 {
     PacketBoard host;
     for (int i = 0; i < 5000; ++i) {
@@ -377,7 +383,8 @@
     CHECK(busy == host.board.packets.flows.used);
 }
 
-TEST_CASE("requests of a former life do not count for the next one", "[packets][born]")
+TEST_CASE("requests from before a restart do not count for the restarted upstream",
+          "[packets][born]")
 {
     PacketBoard host;
     const auto cookie = Cookie::of(InstanceId(2));
@@ -396,45 +403,48 @@
     other.dataBytes = 300;
     host.steer(other);
     CHECK(host.entry(2).evidence.busy == 1);
-    // The former life's flow is carried on, where it is reset, and shows neither end nor life.
+    // Packets of the flow from before the restart are still forwarded, for the upstream to reset
+    // it, but they neither end a request nor count as a sign of life.
     request.flags.finishes = true;
     CHECK(host.steer(request).verdict == PacketVerdict::Forward);
     CHECK(host.entry(2).evidence.busy == 1);
     CHECK(host.entry(2).evidence.heard == MonoTime());
 }
 
-TEST_CASE("a host that just started carries flows of a service that their row had before",
+TEST_CASE("a host that just started forwards flows of a service that their row no longer has",
           "[packets][owner]")
 {
-    // It knows today's rows only: the feed has moved to papers. All hosts may have started at once.
+    // This host knows only the current rows, in which the feed has moved to papers. If all hosts
+    // started at once, none knows the rows from before.
     PacketBoard host;
     host.board.directory = Directory(ZoneId::ofName("a"));
-    DirectoryUpdate today;
-    today.upTo = { 10 };
-    today.rows = packetRows(9, { packetRow("feed", feedAddress, "papers"),
-                                 packetRow("papers", papersAddress, "papers") });
-    today.present = { record(1, "live", "a", 2), record(5, "papers", "a", 6) };
-    host.take(today);
+    DirectoryUpdate current;
+    current.upTo = { 10 };
+    current.rows = packetRows(9, { packetRow("feed", feedAddress, "papers"),
+                                   packetRow("papers", papersAddress, "papers") });
+    current.present = { record(1, "live", "a", 2), record(5, "papers", "a", 6) };
+    host.take(current);
     const auto live = Cookie::of(InstanceId(1));
     const auto carried = host.acknowledge(7, live.bound(feedAddress));
     CHECK(carried.verdict == PacketVerdict::Forward);
     CHECK(carried.targets[0].instance == InstanceId(1));
     CHECK(carried.targets[0].cookie == live.bound(feedAddress));
-    // The cookie was written for that address: it says nothing at another, bound or not.
+    // The cookie was issued for that address, so it proves nothing at another one, and nor does an
+    // unbound cookie.
     CHECK(host.acknowledge(7, live.bound(feedAddress), papersAddress).verdict
           == PacketVerdict::Drop);
     CHECK(host.acknowledge(7, live).reason == PacketReason::CookieOfAnother);
-    // Flows opened before the start are over after this.
-    host.pass(config::tombstoneTime);
+    // After this time, no flow from before the start can still be open.
+    host.advance(config::tombstoneTime);
     CHECK(host.acknowledge(7, live.bound(feedAddress)).reason == PacketReason::CookieOfAnother);
     CHECK(host.acknowledge(7, Cookie::of(InstanceId(5)).bound(feedAddress)).verdict
           == PacketVerdict::Forward);
 }
 
-TEST_CASE("a cookie names hardly any upstream at an address that it was not written for",
+TEST_CASE("a cookie rarely matches an upstream at an address that it was not issued for",
           "[packets][owner]")
 {
-    // A tenth of the upstreams of the design size, a thousandth of its pairs of addresses.
+    // A tenth of the upstreams of the design size, and a thousandth of its address pairs.
     constexpr std::uint64_t upstreams = 11000;
     constexpr std::uint32_t addresses = 50;
     std::unordered_set<std::uint32_t> known;
@@ -452,7 +462,7 @@
             hits += known.count(cookie.bound(written).bound(other).value);
         }
     }
-    // 550,000 tries at 11,000 of 2^32 numbers: 1.4 are expected.
+    // 550,000 tries, each matching one of 11,000 of 2^32 values by chance: 1.4 hits are expected.
     CHECK(hits <= 8);
 }
 
--- a/tests/unit/silencetest.cpp
+++ b/tests/unit/silencetest.cpp
@@ -1,4 +1,4 @@
-/// Upstreams that fall silent, as callers' packets show it, and false alarms.
+/// Tests of the detection of silent upstreams from callers' packets, and of false alarms.
 #include "packetboard.h"
 
 #include "core/packets/packetnote.h"
@@ -15,9 +15,9 @@
 
 using namespace std::chrono_literals;
 
-/// Opens a flow each 30 ms; those at `silent` are not answered, and their callers resend once.
-/// @returns the time until the last new flow was sent there.
-auto playSilence(PacketBoard &host, std::uint64_t silent, int flows) -> Duration
+/// Opens a flow every 30 ms. Upstream `silent` does not answer, and the callers of its flows resend
+/// once. @returns the time from the start to the last new flow that was placed there.
+auto openFlowsWithSilent(PacketBoard &host, std::uint64_t silent, int flows) -> Duration
 {
     constexpr int resendAfter = 7; // 210 ms.
     const auto begin = host.board.now.mono;
@@ -31,16 +31,16 @@
             last = host.board.now.mono - begin;
             resends[i + resendAfter] = port;
         }
-        host.pass(7ms);
+        host.advance(7ms);
         if (instance != silent) {
             host.acknowledge(port, decision.targets[0].cookie);
         }
         if (resends.count(i) != 0) {
             const auto copy = host.open(resends[i], feedAddress, 1);
-            host.pass(7ms);
+            host.advance(7ms);
             host.acknowledge(resends[i], copy.targets[0].cookie);
         }
-        host.pass(16ms);
+        host.advance(16ms);
     }
     return last;
 }
@@ -52,24 +52,24 @@
 
 } // namespace
 
-TEST_CASE("a silent upstream gets no new flows after two unanswered ones", "[silence]")
+TEST_CASE("an upstream gets no new flows after it left two openings unanswered", "[silence]")
 {
     PacketBoard host;
-    const auto last = playSilence(host, 2, 60);
+    const auto last = openFlowsWithSilent(host, 2, 60);
     CHECK(host.entry(2).evidence.isSilent());
     CHECK(count(host, LogEvent::UpstreamSilent) == 1);
-    // 33 new flows a second over three upstreams: the first copy comes after 210 ms.
+    // 33 new flows a second go to three upstreams; the first copy arrives after 210 ms.
     CHECK(last <= 330ms);
     CHECK(host.board.stats.upstreamsSilenced == 1);
 }
 
-TEST_CASE("a silent upstream is tried beside another one and taken back when it answers",
+TEST_CASE("a silent upstream gets trial copies of new flows and is used again once it answers",
           "[silence]")
 {
     PacketBoard host;
-    playSilence(host, 2, 30);
+    openFlowsWithSilent(host, 2, 30);
     REQUIRE(host.entry(2).evidence.isSilent());
-    host.pass(config::trialPause);
+    host.advance(config::trialPause);
     const auto trial = host.open(900);
     REQUIRE(trial.reason == PacketReason::PlacedOnTrial);
     REQUIRE(trial.targetCount == 2);
@@ -77,19 +77,19 @@
     CHECK(trial.targets[1].instance == InstanceId(2));
     // Not every new flow is a trial.
     CHECK(host.open(901).reason == PacketReason::Placed);
-    host.pass(7ms);
+    host.advance(7ms);
     host.acknowledge(900, trial.targets[1].cookie);
     CHECK_FALSE(host.entry(2).evidence.isSilent());
-    host.pass(50ms);
+    host.advance(50ms);
     CHECK(count(host, LogEvent::UpstreamHeard) == 1);
-    // The flow counts where it opened.
+    // The flow is counted at the upstream that answered.
     CHECK(host.entry(2).evidence.handshake == 7ms);
 }
 
-TEST_CASE("an open flow's progress is a sign of life", "[silence]")
+TEST_CASE("a newer acknowledgement on an open flow ends the silence of its upstream", "[silence]")
 {
     PacketBoard host;
-    playSilence(host, 2, 30);
+    openFlowsWithSilent(host, 2, 30);
     REQUIRE(host.entry(2).evidence.isSilent());
     auto request = PacketBoard::following(950, Cookie::of(InstanceId(2)), feedAddress);
     request.dataBytes = 300;
@@ -102,15 +102,15 @@
     CHECK_FALSE(host.entry(2).evidence.isSilent());
 }
 
-TEST_CASE("a request of an open flow that is sent again is told once, with its age", "[silence]")
+TEST_CASE("a resent request of an open flow is reported once, with its age", "[silence]")
 {
     PacketBoard host;
     auto request = PacketBoard::following(951, Cookie::of(InstanceId(2)), feedAddress);
     request.dataBytes = 300;
     CHECK(host.steer(request).reason == PacketReason::Steered);
-    host.pass(100ms);
+    host.advance(100ms);
     CHECK(host.steer(request).reason == PacketReason::Steered); // Too early to be a resend.
-    host.pass(150ms);
+    host.advance(150ms);
     const auto overdue = host.steer(request);
     CHECK(overdue.reason == PacketReason::SteeredOverdue);
     CHECK(overdue.verdict == PacketVerdict::Forward);
@@ -122,16 +122,17 @@
     CHECK(host.steer(request).reason == PacketReason::Steered);
 
     request.sequence += 300;
-    request.acknowledged += 1000; // Answered; the next request is another one.
+    request.acknowledged += 1000; // The request was answered; this is the next one.
     host.steer(request);
-    host.pass(250ms);
+    host.advance(250ms);
     const auto next = host.steer(request);
     CHECK(next.reason == PacketReason::SteeredOverdue);
     CHECK_THAT(describePacket(host.board, request, next),
                Catch::Contains(" heard_ms_ago=250 sent_ms_ago=250 "));
 }
 
-TEST_CASE("progress of a flow that went another way meanwhile is no sign of life", "[silence]")
+TEST_CASE("an acknowledgement on a flow that passed through another host does not end a silence",
+          "[silence]")
 {
     PacketBoard host;
     const auto cookie = Cookie::of(InstanceId(2));
@@ -142,12 +143,13 @@
         packet.dataBytes = dataBytes;
         host.steer(packet);
     };
-    // Its upstream answered requests of this flow while another host carried it, and died since.
+    // The upstream answered requests of this flow while its packets passed through another host,
+    // and then died.
     send(5000, 500);
-    host.pass(50ms);
+    host.advance(50ms);
     send(6000, 0);
-    host.pass(10s);
-    playSilence(host, 2, 60);
+    host.advance(10s);
+    openFlowsWithSilent(host, 2, 60);
     REQUIRE(host.entry(2).evidence.isSilent());
     const auto responses = host.entry(2).evidence.response;
     send(20000, 500);
@@ -155,21 +157,21 @@
     CHECK(host.entry(2).evidence.response == responses);
 }
 
-TEST_CASE("no upstream is silent when none answers: the fault is on this side", "[silence]")
+TEST_CASE("no upstream becomes silent while none answers, as this host may be cut off", "[silence]")
 {
     PacketBoard host;
     for (std::uint16_t port = 1; port <= 60; ++port) {
         host.open(port);
-        host.pass(30ms);
+        host.advance(30ms);
     }
     CHECK(host.board.stats.openingsUnanswered > 50);
     CHECK(host.board.stats.upstreamsSilenced == 0);
 }
 
-TEST_CASE("lost packets silence no upstream for longer than until its next answer", "[silence]")
+TEST_CASE("a silence caused by lost packets ends with the upstream's next answer", "[silence]")
 {
     PacketBoard host;
-    // An open flow at each upstream goes on.
+    // Each upstream has an open flow whose requests it answers.
     std::map<std::uint64_t, PacketHead> open;
     for (std::uint64_t instance = 1; instance <= 4; ++instance) {
         const auto port = static_cast<std::uint16_t>(9000 + instance);
@@ -178,12 +180,12 @@
     }
     for (std::uint16_t port = 1; port <= 300; ++port) {
         const auto decision = host.open(port);
-        host.pass(7ms);
-        // One of ten openings is lost, on whichever upstream; its caller resends.
+        host.advance(7ms);
+        // One of ten openings is lost, at any upstream, and its caller resends.
         if (port % 10 != 0) {
             host.acknowledge(port, decision.targets[0].cookie);
         } else {
-            host.pass(193ms);
+            host.advance(193ms);
             host.open(port, feedAddress, 1);
         }
         for (auto &[instance, request] : open) {
@@ -192,20 +194,20 @@
             host.steer(request);
             request.acknowledged += 1000;
             request.dataBytes = 0;
-            host.pass(5ms);
+            host.advance(5ms);
             host.steer(request);
         }
-        host.pass(8ms);
+        host.advance(8ms);
     }
     CHECK(host.board.stats.openingsUnanswered > 50);
-    // Each alarm ended with the next answer on an open flow.
+    // Each false alarm ended with the next answer on an open flow.
     CHECK(host.board.stats.upstreamsSilenced == host.board.stats.upstreamsHeardAgain);
     for (std::uint64_t instance = 1; instance <= 4; ++instance) {
         CHECK_FALSE(host.entry(instance).evidence.isSilent());
     }
 }
 
-TEST_CASE("a pause of the process is no silence of upstreams", "[silence]")
+TEST_CASE("a pause of the process makes no upstream silent", "[silence]")
 {
     PacketBoard host;
     for (int round = 0; round < 20; ++round) {
@@ -214,13 +216,13 @@
             const auto port = static_cast<std::uint16_t>(round * 10 + i + 1);
             opened.emplace_back(port, host.open(port).targets[0].cookie);
         }
-        // The process stands still; its first turn is a tick, then it reads what waited.
+        // The process is paused for 4 s. It then runs a tick before it reads the waiting packets.
         host.board.now.mono += 4s;
-        host.pass(1ms);
+        host.advance(1ms);
         for (const auto &[port, cookie] : opened) {
             host.acknowledge(port, cookie);
         }
-        host.pass(100ms);
+        host.advance(100ms);
     }
     CHECK(host.board.stats.upstreamsSilenced == 0);
 }
@@ -231,9 +233,9 @@
     for (std::uint16_t port = 1; port <= 20; ++port) {
         const auto live = host.open(port);
         host.open(static_cast<std::uint16_t>(port + 1000), papersAddress);
-        host.pass(7ms);
+        host.advance(7ms);
         host.acknowledge(port, live.targets[0].cookie);
-        host.pass(93ms);
+        host.advance(93ms);
     }
     REQUIRE(host.entry(5).evidence.isSilent());
     const auto decision = host.open(3000, papersAddress);
@@ -242,22 +244,23 @@
     CHECK(decision.targetCount == 1);
 }
 
-TEST_CASE("without upstreams of its zone that answer, a host uses those of others", "[silence]")
+TEST_CASE("a host uses upstreams of other zones while those of its own zone are silent",
+          "[silence]")
 {
     PacketBoard host;
     for (std::uint16_t port = 1; port <= 100; ++port) {
         const auto decision = host.open(port);
-        host.pass(7ms);
+        host.advance(7ms);
         if (decision.targets[0].instance == InstanceId(4)) {
             host.acknowledge(port, decision.targets[0].cookie);
         } else {
-            // Another service's upstream shows that callers are reached.
+            // An answer of another service's upstream shows that this host is not cut off.
             const auto other = static_cast<std::uint16_t>(port + 1000);
             const auto papers = host.open(other, papersAddress);
-            host.pass(7ms);
+            host.advance(7ms);
             host.acknowledge(other, papers.targets[0].cookie, papersAddress);
         }
-        host.pass(23ms);
+        host.advance(23ms);
     }
     for (std::uint64_t instance = 1; instance <= 3; ++instance) {
         CHECK(host.entry(instance).evidence.isSilent());
@@ -267,50 +270,55 @@
 
 namespace {
 
-/// Plays requests on open flows: each `step` one at upstream 1 that is answered after 20 ms, and at
-/// upstream 2, on flows 1 to `count`, one that its caller sends again after 200 and 600 ms.
-class LostPlay
+/// Sends requests on open flows. Upstream 1 gets a request each `step`, which it answers after 20
+/// ms. Upstream 2 gets requests that it does not answer and that callers resend after 200 and 600
+/// ms.
+class LostRequestScenario
 {
 public:
-    explicit LostPlay(PacketBoard &board) : host(board) {}
+    explicit LostRequestScenario(PacketBoard &board) : host(board) {}
 
-    /// Sends the request of a flow at upstream 2. @returns the decision.
-    auto ask(std::uint16_t port) -> PacketDecision
+    /// Sends, or resends, the request of a flow at upstream 2. @returns the decision.
+    auto sendRequest(std::uint16_t port) -> PacketDecision
     {
         return this->host.steer(request(port, 2, 2000));
     }
 
-    /// Lets time pass; upstream 1 answers meanwhile if `others` do.
-    auto pass(Duration duration, bool others) -> void
+    /// Advances the clock; upstream 1 answers its requests meanwhile if `answers` is true.
+    auto advance(Duration duration, bool answers) -> void
     {
         for (Duration done { 0 }; done < duration; done += step) {
             const auto from = this->next;
             this->next += 100;
             this->host.steer(request(800, 1, from));
-            this->host.pass(step / 2);
+            this->host.advance(step / 2);
             auto answered = request(800, 1, from + 100);
             answered.dataBytes = 0;
-            answered.acknowledged = others ? from : 5001;
+            answered.acknowledged = answers ? from : 5001;
             this->host.steer(answered);
-            this->host.pass(step / 2);
+            this->host.advance(step / 2);
         }
     }
 
-    /// Plays two flows whose requests nobody answers. @returns the decision on a third one.
-    auto play(bool othersBefore, bool othersMeanwhile, bool othersAfter) -> PacketDecision
+    /// Sends the requests of two flows three times each without an answer. The arguments say
+    /// whether upstream 1 answers before them, until the first resend, and until the second one.
+    /// @returns the decision on the request of a third flow.
+    auto run(bool answersBefore, bool answersUntilResend, bool answersUntilSecondResend)
+            -> PacketDecision
     {
-        this->pass(600ms, othersBefore);
-        this->ask(1);
-        this->ask(2);
-        this->pass(200ms, othersMeanwhile);
-        this->ask(1);
-        this->ask(2);
-        this->pass(400ms, othersAfter);
-        this->ask(1);
-        this->ask(2);
-        return this->ask(3);
+        this->advance(600ms, answersBefore);
+        this->sendRequest(1);
+        this->sendRequest(2);
+        this->advance(200ms, answersUntilResend);
+        this->sendRequest(1);
+        this->sendRequest(2);
+        this->advance(400ms, answersUntilSecondResend);
+        this->sendRequest(1);
+        this->sendRequest(2);
+        return this->sendRequest(3);
     }
 
+    /// Returns a packet with data of a flow at `upstream`.
     static auto request(std::uint16_t port, std::uint64_t upstream, std::uint32_t sequence)
             -> PacketHead
     {
@@ -329,122 +337,125 @@
 
 } // namespace
 
-TEST_CASE("requests at an upstream that answers nobody are reset, so that callers repeat them",
+TEST_CASE("idempotent requests at an upstream that answers nobody are reset to be repeated",
           "[silence][lost]")
 {
     PacketBoard host;
-    LostPlay play(host);
-    const auto third = play.play(true, true, true);
+    LostRequestScenario scenario(host);
+    const auto third = scenario.run(true, true, true);
     CHECK(third.verdict == PacketVerdict::Reset);
     CHECK(third.reason == PacketReason::UpstreamSilent);
-    // Acknowledgements without data are carried on, and one sign of life ends it.
-    auto progress = LostPlay::request(1, 2, 2100);
+    // Acknowledgements without data are still forwarded, and a newer one ends the resets.
+    auto progress = LostRequestScenario::request(1, 2, 2100);
     progress.dataBytes = 0;
     progress.acknowledged = 6000;
     CHECK(host.steer(progress).verdict == PacketVerdict::Forward);
-    CHECK(play.ask(4).verdict == PacketVerdict::Forward);
+    CHECK(scenario.sendRequest(4).verdict == PacketVerdict::Forward);
 }
 
-TEST_CASE("a request that may not be repeated waits for its upstream", "[silence][lost]")
+TEST_CASE("a request that must not be repeated is not reset", "[silence][lost]")
 {
     PacketBoard host;
     auto row = packetRow("feed", feedAddress, "live");
     row.idempotent = false;
     host.takeRows({ row, packetRow("papers", papersAddress, "papers") });
-    CHECK(LostPlay(host).play(true, true, true).verdict == PacketVerdict::Forward);
+    CHECK(LostRequestScenario(host).run(true, true, true).verdict == PacketVerdict::Forward);
 }
 
-TEST_CASE("a host that reached nobody takes no upstream for lost", "[silence][lost]")
+TEST_CASE("a host that may have been cut off resets no open flow", "[silence][lost]")
 {
-    // Cut off from before the requests, from after them, until the third time they are sent, or
-    // between the first resend and the second.
+    // Upstream 1 does not answer at all, or not after the requests are sent, or not until the first
+    // resend, or not between the requests and that, or not between the two resends.
     for (const auto &[before, meanwhile, after] :
          { std::tuple(false, false, false), std::tuple(true, false, false),
            std::tuple(false, false, true), std::tuple(true, false, true),
            std::tuple(true, true, false) }) {
         PacketBoard host;
-        CHECK(LostPlay(host).play(before, meanwhile, after).verdict == PacketVerdict::Forward);
+        CHECK(LostRequestScenario(host).run(before, meanwhile, after).verdict
+              == PacketVerdict::Forward);
     }
 }
 
-TEST_CASE("a slow upstream that acknowledges resends is not lost", "[silence][lost]")
+TEST_CASE("requests at a slow upstream that acknowledges resends are not reset", "[silence][lost]")
 {
-    // Eight requests of 1.6 s each: every caller sends its request twice, no one a third time.
+    // Eight requests take 1.6 s each: every caller sends its request twice, and none a third time.
     PacketBoard host;
-    LostPlay play(host);
-    play.pass(600ms, true);
+    LostRequestScenario scenario(host);
+    scenario.advance(600ms, true);
     for (std::uint16_t port = 1; port <= 8; ++port) {
-        play.ask(port);
+        scenario.sendRequest(port);
     }
-    play.pass(200ms, true);
+    scenario.advance(200ms, true);
     for (std::uint16_t port = 1; port <= 8; ++port) {
-        CHECK(play.ask(port).verdict == PacketVerdict::Forward);
+        CHECK(scenario.sendRequest(port).verdict == PacketVerdict::Forward);
     }
-    play.pass(1400ms, true);
+    scenario.advance(1400ms, true);
     REQUIRE(host.entry(2).evidence.isSilent());
-    CHECK(play.ask(9).verdict == PacketVerdict::Forward);
+    CHECK(scenario.sendRequest(9).verdict == PacketVerdict::Forward);
 }
 
-TEST_CASE("an open flow is not reset on a silence of its upstream that ended unseen",
+TEST_CASE("an open flow is not reset on lost requests that are no longer recent",
           "[silence][lost][stale]")
 {
     PacketBoard host;
-    LostPlay play(host);
-    REQUIRE(play.play(true, true, true).verdict == PacketVerdict::Reset);
-    // Another host hears the upstream again; this one carries nothing of it for a while.
-    play.pass(config::lostFresh, true);
-    CHECK(play.ask(4).verdict == PacketVerdict::Forward);
+    LostRequestScenario scenario(host);
+    REQUIRE(scenario.run(true, true, true).verdict == PacketVerdict::Reset);
+    // The upstream may answer again through another host; this one forwards none of its packets for
+    // a while.
+    scenario.advance(config::lostFresh, true);
+    CHECK(scenario.sendRequest(4).verdict == PacketVerdict::Forward);
 }
 
-TEST_CASE("an open flow is not reset on word from before its upstream was listed again",
+TEST_CASE("an open flow is not reset on requests lost before its upstream was listed again",
           "[silence][lost][stale]")
 {
     PacketBoard host;
-    LostPlay play(host);
-    REQUIRE(play.play(true, true, true).verdict == PacketVerdict::Reset);
+    LostRequestScenario scenario(host);
+    REQUIRE(scenario.run(true, true, true).verdict == PacketVerdict::Reset);
     DirectoryUpdate gone;
     gone.after = { 10 };
     gone.upTo = { 11 };
     gone.removed = { { InstanceId(2), { 11 } } };
     host.take(gone);
-    play.pass(100ms, true);
+    scenario.advance(100ms, true);
     DirectoryUpdate back;
     back.after = { 11 };
     back.upTo = { 12 };
     back.present = { record(2, "live", "a", 12) };
     host.take(back);
     CHECK_FALSE(host.entry(2).evidence.isSilent());
-    CHECK(play.ask(4).verdict == PacketVerdict::Forward);
-    // What was asked before the new listing and goes unanswered after it says nothing either.
-    CHECK(play.ask(1).verdict == PacketVerdict::Forward);
-    CHECK(play.ask(2).verdict == PacketVerdict::Forward);
-    CHECK(play.ask(5).verdict == PacketVerdict::Forward);
+    CHECK(scenario.sendRequest(4).verdict == PacketVerdict::Forward);
+    // Requests that were first sent before the new listing do not count, even if resent after it.
+    CHECK(scenario.sendRequest(1).verdict == PacketVerdict::Forward);
+    CHECK(scenario.sendRequest(2).verdict == PacketVerdict::Forward);
+    CHECK(scenario.sendRequest(5).verdict == PacketVerdict::Forward);
 }
 
-TEST_CASE("a flow is not reset on lost requests that lie far apart", "[silence][lost][stale]")
+TEST_CASE("an open flow is not reset on lost requests that are not all recent",
+          "[silence][lost][stale]")
 {
     PacketBoard host;
-    LostPlay play(host);
-    play.pass(600ms, true);
+    LostRequestScenario scenario(host);
+    scenario.advance(600ms, true);
     for (const std::uint16_t port : { 1, 2 }) {
-        play.ask(port);
-        play.pass(200ms, true);
-        play.ask(port);
-        play.pass(400ms, true);
-        play.ask(port);
-        play.pass(config::lostFresh, true);
+        scenario.sendRequest(port);
+        scenario.advance(200ms, true);
+        scenario.sendRequest(port);
+        scenario.advance(400ms, true);
+        scenario.sendRequest(port);
+        scenario.advance(config::lostFresh, true);
     }
-    CHECK(play.ask(3).verdict == PacketVerdict::Forward);
+    CHECK(scenario.sendRequest(3).verdict == PacketVerdict::Forward);
 }
 
-TEST_CASE("the line of a reset at a silent upstream names the age of its evidence",
+TEST_CASE("the log line of a reset at a silent upstream gives the age of the evidence",
           "[silence][lost][stale]")
 {
     PacketBoard host;
-    LostPlay play(host);
-    REQUIRE(play.play(true, true, true).verdict == PacketVerdict::Reset);
-    play.pass(400ms, true);
-    const auto request = LostPlay::request(4, 2, 2000);
+    LostRequestScenario scenario(host);
+    REQUIRE(scenario.run(true, true, true).verdict == PacketVerdict::Reset);
+    scenario.advance(400ms, true);
+    const auto request = LostRequestScenario::request(4, 2, 2000);
     const auto decision = host.steer(request);
     REQUIRE(decision.reason == PacketReason::UpstreamSilent);
     const auto line = describePacket(host.board, request, decision);
