--- a/src/core/directory/directory.cpp
+++ b/src/core/directory/directory.cpp
@@ -1,4 +1,4 @@
-/// Takes updates, keeps tombstones and makes the look-ups.
+/// Applies updates, keeps tombstones and maintains the indexes and pools.
 #include "core/directory/directory.h"
 
 #include <flamingograde/config.h>
@@ -11,10 +11,11 @@
 
 namespace {
 
-const ServicePool noPool;
+const ServicePool emptyPool;
 
-/// Returns whether `a` has the older claim on a cookie that both have.
-auto isOlder(const DirectoryRecord &a, const DirectoryRecord &b) -> bool
+/// Returns whether `a` takes precedence over `b` for a cookie that both map to: the record that
+/// was created first, then the lower instance id.
+auto takesPrecedence(const DirectoryRecord &a, const DirectoryRecord &b) -> bool
 {
     if (a.created != b.created) {
         return a.created < b.created;
@@ -22,35 +23,38 @@
     return a.upstream.instance < b.upstream.instance;
 }
 
-/// Returns whether a record tells of another start than the one before.
-auto isOtherLife(const DirectoryRecord &before, const DirectoryRecord &record) -> bool
+/// Returns whether `record` was written after another start of the process than `before`.
+auto isRestart(const DirectoryRecord &before, const DirectoryRecord &record) -> bool
 {
     return record.upstream.born != WallTime() && before.upstream.born != record.upstream.born;
 }
 
-/// Returns whether a record cannot be of the upstream that has its instance: two ids end in one
-/// number, or something else wrote over its entry. In one life no upstream changes its service.
-auto isForeign(const UpstreamEntry &entry, const DirectoryRecord &record) -> bool
+/// Returns whether a record cannot belong to the upstream known under its instance: two upstream
+/// ids map to the same instance number, or another writer overwrote the platform's entry. An
+/// upstream never changes its name, and changes its service only by a restart.
+auto isConflicting(const UpstreamEntry &entry, const DirectoryRecord &record) -> bool
 {
     const auto &known = entry.record.upstream;
-    const auto isSameLife =
-            entry.presence == Presence::Listed && !isOtherLife(entry.record, record);
+    const auto isSameProcess =
+            entry.presence == Presence::Listed && !isRestart(entry.record, record);
     return known.name != record.upstream.name
-           || (isSameLife && known.service != record.upstream.service);
+           || (isSameProcess && known.service != record.upstream.service);
 }
 
-/// Returns whether an upstream that was not leaving showed life so lately that it did not die.
+/// Returns whether an active upstream showed a sign of life within `config::livingFor`, so that
+/// its removal does not mean that it stopped.
 ///
-/// Guards open flows of living upstreams whose leases lapsed behind a cut: on six hosts whose zone
-/// is cut off for some seconds, 9 to 20 non-idempotent requests failed by a reset within 0.1 s of
-/// the cut's end, each time.
-auto showsLife(const UpstreamEntry &entry, MonoTime now) -> bool
+/// Protects open flows of running upstreams whose leases expired during a network partition. If
+/// such removals are applied at once, flows are reset: on six hosts whose zone was cut off for
+/// some seconds, 9 to 20 non-idempotent requests failed by a reset within 0.1 s of each
+/// partition's end.
+auto showedLifeRecently(const UpstreamEntry &entry, MonoTime now) -> bool
 {
     return entry.record.upstream.state == UpstreamState::Active
            && entry.evidence.heard != MonoTime() && now - entry.evidence.heard < config::livingFor;
 }
 
-/// Adds to `had` what it lacks of the services of `row`.
+/// Adds the services of `row` to `had`, without duplicates.
 auto addServices(const PacketRow &row, std::vector<ServiceId> &had) -> void
 {
     for (const auto &share : row.shares) {
@@ -62,12 +66,12 @@
 
 } // namespace
 
-auto Directory::canTake(const DirectoryUpdate &update) const -> bool
+auto Directory::canApply(const DirectoryUpdate &update) const -> bool
 {
-    return update.upTo.isValid() && !(this->known < update.after);
+    return update.upTo.isValid() && !(this->knownRevision < update.after);
 }
 
-auto Directory::isOpen(const UpstreamEntry &entry) const -> bool
+auto Directory::acceptsNewFlows(const UpstreamEntry &entry) const -> bool
 {
     const auto &upstream = entry.record.upstream;
     return entry.presence != Presence::Removed && entry.ownsCookie && !entry.isFaulty
@@ -77,7 +81,7 @@
 
 auto Directory::acceptsOpening(const UpstreamEntry &entry) const -> bool
 {
-    return this->isOpen(entry) && entry.hasColdRoom();
+    return this->acceptsNewFlows(entry) && entry.hasColdRoom();
 }
 
 auto Directory::coldLimitOf(ServiceId service) const -> const ColdLimit *
@@ -86,7 +90,6 @@
     return found == this->coldLimits.end() ? nullptr : &found->second;
 }
 
-/// Updates whether a cold limit applies to an entry.
 auto Directory::updateColdLimit(UpstreamEntry &entry, MonoTime now) -> void
 {
     const auto isColdLimited =
@@ -106,7 +109,7 @@
     if (this->coldLimited == 0) {
         return;
     }
-    for (auto &entry : this->slots) {
+    for (auto &entry : this->entrySlots) {
         if (entry.isColdLimited) {
             this->updateColdLimit(entry, now);
         }
@@ -117,7 +120,7 @@
 /// become cold while they received no requests, and their next heartbeat updates the record.
 auto Directory::assumeZoneCold(ZoneId zone, Revision at, MonoTime now) -> void
 {
-    for (auto &entry : this->slots) {
+    for (auto &entry : this->entrySlots) {
         const auto *limit = this->coldLimitOf(entry.record.upstream.service);
         const auto isOutdated = entry.record.changed < at;
         if (limit != nullptr && isOutdated && entry.record.upstream.zone == zone) {
@@ -130,50 +133,50 @@
 auto Directory::take(const DirectoryUpdate &update, MonoTime now) -> DirectoryChanges
 {
     DirectoryChanges changes;
-    if (!(this->known < update.upTo)) {
+    if (!(this->knownRevision < update.upTo)) {
         return changes;
     }
     for (const auto &record : update.present) {
-        this->takeRecord(record, now, changes);
+        this->applyRecord(record, now, changes);
     }
     for (const auto &removal : update.removed) {
-        this->takeRemoval(removal, update.settlesIn, now, changes);
+        this->applyRemoval(removal, update.settlesIn, now, changes);
     }
     for (const auto &fault : update.faulty) {
-        this->takeFault(fault, changes);
+        this->applyFault(fault, changes);
     }
     if (update.isWhole()) {
-        this->takeAbsent(update, now, changes);
+        this->removeAbsent(update, now, changes);
     }
-    this->takeRows(update.rows, now, changes);
-    this->takeEvacuations(update, now, changes);
-    this->known = update.upTo;
+    this->applyRows(update.rows, now, changes);
+    this->applyEvacuations(update, now, changes);
+    this->knownRevision = update.upTo;
     changes.advanced = true;
     this->poolsStale = true;
     return changes;
 }
 
-auto Directory::takeRecord(const DirectoryRecord &record, MonoTime now, DirectoryChanges &changes)
+auto Directory::applyRecord(const DirectoryRecord &record, MonoTime now, DirectoryChanges &changes)
         -> void
 {
     const auto found = this->byInstance.find(record.upstream.instance);
     const auto isNew = found == this->byInstance.end();
-    auto &entry = isNew ? this->add(record) : this->slots[found->second];
+    auto &entry = isNew ? this->add(record) : this->entrySlots[found->second];
     if (!isNew && !(entry.newest < record.changed)) {
         return;
     }
-    if (!isNew && isForeign(entry, record)) {
-        this->takeFault({ record.upstream.instance, record.changed }, changes);
+    if (!isNew && isConflicting(entry, record)) {
+        this->applyFault({ record.upstream.instance, record.changed }, changes);
         return;
     }
-    // The platform's order of its entries decides which start is the newer: `born` is read off a
-    // clock that may step back, and only tells one start from another.
-    if (!isNew && isOtherLife(entry.record, record)) {
-        this->beginLife(entry, changes);
+    // The platform's revisions order the starts. `born` is read from a wall clock that may step
+    // back, so it only distinguishes one start from another.
+    if (!isNew && isRestart(entry.record, record)) {
+        this->resetAfterRestart(entry, changes);
     }
     const auto wasActive = entry.record.upstream.state == UpstreamState::Active;
     const auto wasListed = !isNew && entry.presence == Presence::Listed;
-    this->unsettled -= !isNew && !wasListed ? 1 : 0;
+    this->unlistedEntries -= !isNew && !wasListed ? 1 : 0;
     this->listed += wasListed ? 0 : 1;
     entry.record = record;
     entry.newest = record.changed;
@@ -193,9 +196,12 @@
     }
 }
 
-/// Open flows of a former life are not reset here: their packets reach the new one, which resets
-/// what it does not hold half a round trip later, and a flow that another host carried may be new.
-auto Directory::beginLife(UpstreamEntry &entry, DirectoryChanges &changes) -> void
+/// Clears what is known of an instance's previous process after a restart.
+///
+/// Open flows are not reset here: their packets reach the new process, which resets unknown flows
+/// half a round trip later. A flow that another host forwarded before may already belong to the
+/// new process.
+auto Directory::resetAfterRestart(UpstreamEntry &entry, DirectoryChanges &changes) -> void
 {
     ++entry.life;
     entry.evidence = UpstreamEvidence();
@@ -203,13 +209,13 @@
     changes.restarted.push_back(this->indexOf(entry));
 }
 
-auto Directory::takeFault(const DirectoryFault &fault, DirectoryChanges &changes) -> void
+auto Directory::applyFault(const DirectoryFault &fault, DirectoryChanges &changes) -> void
 {
     const auto found = this->byInstance.find(fault.instance);
     if (found == this->byInstance.end()) {
         return;
     }
-    auto &entry = this->slots[found->second];
+    auto &entry = this->entrySlots[found->second];
     if (!(entry.newest < fault.at)) {
         return;
     }
@@ -219,32 +225,32 @@
     }
 }
 
-auto Directory::takeRemoval(const DirectoryRemoval &removal, Duration settlesIn, MonoTime now,
-                            DirectoryChanges &changes) -> void
+auto Directory::applyRemoval(const DirectoryRemoval &removal, Duration settlesIn, MonoTime now,
+                             DirectoryChanges &changes) -> void
 {
     const auto found = this->byInstance.find(removal.instance);
     if (found == this->byInstance.end()) {
         return;
     }
-    auto &entry = this->slots[found->second];
+    auto &entry = this->entrySlots[found->second];
     if (!(entry.newest < removal.at) || entry.presence != Presence::Listed) {
         return;
     }
     entry.newest = removal.at;
     --this->listed;
-    ++this->unsettled;
+    ++this->unlistedEntries;
     entry.isDoubted = settlesIn <= Duration(0);
-    if (entry.isDoubted && !showsLife(entry, now)) {
+    if (entry.isDoubted && !showedLifeRecently(entry, now)) {
         this->remove(entry, now, changes);
         return;
     }
     entry.presence = Presence::Missing;
     entry.since = now;
-    entry.settles = now + (entry.isDoubted ? Duration(config::reappearTime) : settlesIn);
+    entry.removalDue = now + (entry.isDoubted ? Duration(config::reappearTime) : settlesIn);
     changes.missing.push_back(this->indexOf(entry));
 }
 
-auto Directory::takeAbsent(const DirectoryUpdate &update, MonoTime now, DirectoryChanges &changes)
+auto Directory::removeAbsent(const DirectoryUpdate &update, MonoTime now, DirectoryChanges &changes)
         -> void
 {
     std::unordered_set<InstanceId> present;
@@ -261,20 +267,20 @@
         }
     }
     for (const auto instance : absent) {
-        this->takeRemoval({ instance, update.upTo }, update.settlesIn, now, changes);
+        this->applyRemoval({ instance, update.upTo }, update.settlesIn, now, changes);
     }
 }
 
-auto Directory::takeRows(const std::shared_ptr<const PacketRows> &rows, MonoTime now,
-                         DirectoryChanges &changes) -> void
+auto Directory::applyRows(const std::shared_ptr<const PacketRows> &rows, MonoTime now,
+                          DirectoryChanges &changes) -> void
 {
     if (rows == nullptr
-        || (this->published != nullptr && !(this->published->changed < rows->changed))) {
+        || (this->currentRows != nullptr && !(this->currentRows->changed < rows->changed))) {
         return;
     }
     auto before = std::exchange(this->rowsByAddress, {});
-    this->firstRows = this->published == nullptr ? now : this->firstRows;
-    this->published = rows;
+    this->firstRowsAt = this->currentRows == nullptr ? now : this->firstRowsAt;
+    this->currentRows = rows;
     this->rowsByAddress.reserve(rows->rows.size());
     for (const auto &row : rows->rows) {
         RowEntry entry { &row, std::move(before[row.address].had) };
@@ -287,22 +293,22 @@
             this->coldLimits.emplace(limit.service, limit);
         }
     }
-    for (auto &entry : this->slots) {
+    for (auto &entry : this->entrySlots) {
         this->updateColdLimit(entry, now);
     }
     changes.rowsChanged = true;
 }
 
-auto Directory::takeEvacuations(const DirectoryUpdate &update, MonoTime now,
-                                DirectoryChanges &changes) -> void
+auto Directory::applyEvacuations(const DirectoryUpdate &update, MonoTime now,
+                                 DirectoryChanges &changes) -> void
 {
     ZoneEvacuations::ZoneSet zones;
     if (!update.evacuations.empty()) {
-        for (const auto &entry : this->slots) {
+        for (const auto &entry : this->entrySlots) {
             zones.insert(entry.record.upstream.zone);
         }
     }
-    changes.evacuations = this->zoneEvacuations.take(update, zones, now);
+    changes.evacuations = this->zoneEvacuations.apply(update, zones, now);
     for (const auto &order : changes.evacuations) {
         if (!order.inForce) {
             this->assumeZoneCold(order.zone, order.at, now);
@@ -314,14 +320,14 @@
 {
     std::uint32_t index = 0;
     if (this->freeSlots.empty()) {
-        index = static_cast<std::uint32_t>(this->slots.size());
-        this->slots.emplace_back();
+        index = static_cast<std::uint32_t>(this->entrySlots.size());
+        this->entrySlots.emplace_back();
     } else {
         index = this->freeSlots.back();
         this->freeSlots.pop_back();
-        this->slots[index] = UpstreamEntry();
+        this->entrySlots[index] = UpstreamEntry();
     }
-    auto &entry = this->slots[index];
+    auto &entry = this->entrySlots[index];
     entry.cookie = Cookie::of(record.upstream.instance);
     entry.isNear = record.upstream.zone == this->ownZone;
     this->byInstance.emplace(record.upstream.instance, index);
@@ -336,8 +342,8 @@
     if (isFree || found->second == index) {
         return;
     }
-    auto &other = this->slots[found->second];
-    if (isOlder(entry.record, other.record)) {
+    auto &other = this->entrySlots[found->second];
+    if (takesPrecedence(entry.record, other.record)) {
         other.ownsCookie = false;
         changes.sharedCookie.push_back(found->second);
         found->second = index;
@@ -355,9 +361,10 @@
     }
     this->cookies.erase(found);
     DirectoryChanges none;
-    for (auto &other : this->slots) {
-        const auto isNext = other.cookie == entry.cookie && !other.ownsCookie && &other != &entry;
-        if (isNext && other.record.upstream.instance.isValid()) {
+    for (auto &other : this->entrySlots) {
+        const auto sharesCookie =
+                other.cookie == entry.cookie && !other.ownsCookie && &other != &entry;
+        if (sharesCookie && other.record.upstream.instance.isValid()) {
             this->claimCookie(other, none);
         }
     }
@@ -371,18 +378,18 @@
     this->poolsStale = true;
 }
 
-auto Directory::settle(MonoTime now) -> DirectoryChanges
+auto Directory::processRemovals(MonoTime now) -> DirectoryChanges
 {
     DirectoryChanges changes;
-    if (this->unsettled == 0) {
+    if (this->unlistedEntries == 0) {
         return changes;
     }
-    for (auto &entry : this->slots) {
+    for (auto &entry : this->entrySlots) {
         if (!entry.record.upstream.instance.isValid()) {
             continue;
         }
-        if (entry.presence == Presence::Missing && now >= entry.settles) {
-            this->settleMissing(entry, now, changes);
+        if (entry.presence == Presence::Missing && now >= entry.removalDue) {
+            this->resolveMissing(entry, now, changes);
         } else if (entry.presence == Presence::Removed
                    && now - entry.since >= config::tombstoneTime) {
             this->forget(entry);
@@ -391,38 +398,39 @@
     return changes;
 }
 
-/// What is still missing after its time gets no new flows any more; open ones go on while it
-/// answers them.
-auto Directory::settleMissing(UpstreamEntry &entry, MonoTime now, DirectoryChanges &changes) -> void
+/// Removes an entry whose deferral has ended. If the upstream showed a sign of life recently, it
+/// only stops receiving new flows; its open flows continue as long as it answers.
+auto Directory::resolveMissing(UpstreamEntry &entry, MonoTime now, DirectoryChanges &changes)
+        -> void
 {
-    if (!showsLife(entry, now)) {
+    if (!showedLifeRecently(entry, now)) {
         this->remove(entry, now, changes);
         return;
     }
     entry.isDoubted = true;
-    entry.settles = entry.evidence.heard + config::livingFor;
+    entry.removalDue = entry.evidence.heard + config::livingFor;
     this->poolsStale = true;
 }
 
 auto Directory::forget(UpstreamEntry &entry) -> void
 {
-    this->forgotten = std::max(this->forgotten, entry.newest);
+    this->newestForgotten = std::max(this->newestForgotten, entry.newest);
     this->releaseCookie(entry);
     this->byInstance.erase(entry.record.upstream.instance);
     this->freeSlots.push_back(this->indexOf(entry));
     this->coldLimited -= entry.isColdLimited ? 1 : 0;
     entry = UpstreamEntry();
-    --this->unsettled;
+    --this->unlistedEntries;
     this->poolsStale = true;
 }
 
 auto Directory::updateSince(Revision have, MonoTime now) const -> DirectoryUpdate
 {
     DirectoryUpdate update;
-    const auto isWhole = !have.isValid() || have < this->forgotten;
+    const auto isWhole = !have.isValid() || have < this->newestForgotten;
     update.after = isWhole ? Revision() : have;
-    update.upTo = this->known;
-    for (const auto &entry : this->slots) {
+    update.upTo = this->knownRevision;
+    for (const auto &entry : this->entrySlots) {
         if (!entry.record.upstream.instance.isValid() || !(update.after < entry.newest)) {
             continue;
         }
@@ -435,11 +443,11 @@
         }
         update.removed.push_back({ entry.record.upstream.instance, entry.newest });
         if (entry.presence == Presence::Missing && !entry.isDoubted) {
-            update.settlesIn = std::max(update.settlesIn, Duration(entry.settles - now));
+            update.settlesIn = std::max(update.settlesIn, Duration(entry.removalDue - now));
         }
     }
-    if (this->published != nullptr && update.after < this->published->changed) {
-        update.rows = this->published;
+    if (this->currentRows != nullptr && update.after < this->currentRows->changed) {
+        update.rows = this->currentRows;
     }
     update.evacuations = this->zoneEvacuations.changedAfter(update.after);
     return update;
@@ -454,22 +462,22 @@
 auto Directory::byCookie(Cookie cookie) -> UpstreamEntry *
 {
     const auto found = this->cookies.find(cookie);
-    return found == this->cookies.end() ? nullptr : &this->slots[found->second];
+    return found == this->cookies.end() ? nullptr : &this->entrySlots[found->second];
 }
 
 auto Directory::byCookie(Cookie cookie) const -> const UpstreamEntry *
 {
     const auto found = this->cookies.find(cookie);
-    return found == this->cookies.end() ? nullptr : &this->slots[found->second];
+    return found == this->cookies.end() ? nullptr : &this->entrySlots[found->second];
 }
 
 auto Directory::poolOf(ServiceId service) -> const ServicePool &
 {
     if (this->poolsStale) {
-        this->makePools();
+        this->rebuildPools();
     }
     const auto found = this->pools.find(service);
-    return found == this->pools.end() ? noPool : found->second;
+    return found == this->pools.end() ? emptyPool : found->second;
 }
 
 auto Directory::beginRequest(UpstreamEntry &entry) -> void
@@ -491,7 +499,7 @@
     }
 }
 
-auto Directory::makePools() -> void
+auto Directory::rebuildPools() -> void
 {
     this->poolsStale = false;
     for (auto &[service, pool] : this->pools) {
@@ -502,15 +510,15 @@
         pool.nearSlots = 0;
         pool.nearBusy = 0;
     }
-    for (auto &entry : this->slots) {
+    for (auto &entry : this->entrySlots) {
         entry.isPooled = false;
-        if (entry.record.upstream.instance.isValid() && this->isOpen(entry)) {
-            this->pool(entry);
+        if (entry.record.upstream.instance.isValid() && this->acceptsNewFlows(entry)) {
+            this->addToPool(entry);
         }
     }
 }
 
-auto Directory::pool(UpstreamEntry &entry) -> void
+auto Directory::addToPool(UpstreamEntry &entry) -> void
 {
     auto &pool = this->pools[entry.record.upstream.service];
     const auto index = this->indexOf(entry);
@@ -520,9 +528,10 @@
         }
         return;
     }
-    // A missing one counts as listed until its removal is believed: when the platform is back after
-    // an outage most upstreams of a service lack for some 100 ms, and all new flows at the few that
-    // registered first filled their queues (12 of 12,600 requests refused, a store away for 9 s).
+    // A missing upstream stays in the pool until its removal is confirmed. When the platform
+    // recovers from an outage, most upstreams of a service are unregistered for some 100 ms;
+    // sending all new flows to the few that registered first filled their queues (after a store
+    // outage of 9 s, 12 of 12,600 requests were refused).
     if (!entry.evidence.isSilent()) {
         (entry.isNear ? pool.near : pool.far).push_back(index);
         entry.isPooled = entry.isNear;
--- a/src/core/directory/directory.h
+++ b/src/core/directory/directory.h
@@ -1,4 +1,4 @@
-/// What the platform publishes of packet services, as this host has it.
+/// This host's copy of the packet rows and upstreams that the platform publishes.
 #pragma once
 
 #include "core/directory/directorychanges.h"
@@ -22,86 +22,94 @@
 
 namespace flamingograde {
 
-/// Rows and upstreams with their look-ups. Revisions never go back.
+/// Packet rows and upstreams, indexed by address, cookie, instance and service.
 ///
-/// An entry's index stays the same until its tombstone is forgotten.
-/// @remarks Not thread safe. Written by the directory controller; the evidence of an entry is
-/// written by the packet path.
+/// The directory's revision never decreases. An entry's index stays valid until its tombstone is
+/// deleted.
+/// @remarks Not thread safe. The directory controller writes everything except
+/// `UpstreamEntry::evidence`, which the packet path writes.
 class Directory
 {
 public:
-    /// @param zone upstreams of it are near.
-    /// @param withColdLimits whether the cold limits of services are enforced.
+    /// @param zone this host's availability zone; its upstreams count as near.
+    /// @param withColdLimits whether to enforce the cold limits of services.
     explicit Directory(ZoneId zone, bool withColdLimits = true)
         : ownZone(zone), enforcesColdLimits(withColdLimits)
     {}
 
-    /// Returns whether `update` continues what this host has. Precondition: none.
-    [[nodiscard]] auto canTake(const DirectoryUpdate &update) const -> bool;
+    /// Returns whether `update` applies to the revision that this host has, that is, whether no
+    /// change between them is missing. Precondition: none.
+    [[nodiscard]] auto canApply(const DirectoryUpdate &update) const -> bool;
 
-    /// Takes an update. Precondition: `canTake(update)`.
-    /// @returns what it changed; nothing for one that brings nothing newer.
+    /// Applies an update. Precondition: `canApply(update)`.
+    /// @returns what changed; empty if the update is not newer than the directory.
     auto take(const DirectoryUpdate &update, MonoTime now) -> DirectoryChanges;
 
-    /// Believes removals that are due and forgets old tombstones. Precondition: none.
-    auto settle(MonoTime now) -> DirectoryChanges;
+    /// Completes deferred removals that are due, and deletes tombstones older than
+    /// `config::tombstoneTime`. Precondition: none.
+    auto processRemovals(MonoTime now) -> DirectoryChanges;
 
-    /// Returns all changes above `have`, or everything where that is not known any more.
-    /// Precondition: none.
+    /// Returns all changes newer than `have`, or the whole directory if the tombstones of some of
+    /// them have been deleted. Precondition: none.
     [[nodiscard]] auto updateSince(Revision have, MonoTime now) const -> DirectoryUpdate;
 
-    /// Returns up to where all changes are known; invalid before the first.
-    [[nodiscard]] auto revision() const -> Revision { return this->known; }
+    /// Returns the revision up to which all changes are applied; invalid before the first update.
+    [[nodiscard]] auto revision() const -> Revision { return this->knownRevision; }
 
-    /// Returns the rows in force, or null before the first.
-    [[nodiscard]] auto rows() const -> const PacketRows * { return this->published.get(); }
+    /// Returns the current rows, or null before the first update with rows.
+    [[nodiscard]] auto rows() const -> const PacketRows * { return this->currentRows.get(); }
 
-    /// Returns since when this host knows rows, and remembers what they had.
-    [[nodiscard]] auto rowsSince() const -> MonoTime { return this->firstRows; }
+    /// Returns when this host received its first rows; `RowEntry::had` covers the time since then.
+    [[nodiscard]] auto rowsSince() const -> MonoTime { return this->firstRowsAt; }
 
-    /// Returns the row reached at `address`, or null. Precondition: none.
+    /// Returns the row that callers reach at `address`, or null. Precondition: none.
     [[nodiscard]] auto rowAt(Address address) const -> const RowEntry *;
 
-    /// Returns the entry for which `cookie` stands, or null. Precondition: none.
+    /// Returns the entry that owns `cookie`, or null. Precondition: none.
     [[nodiscard]] auto byCookie(Cookie cookie) -> UpstreamEntry *;
     [[nodiscard]] auto byCookie(Cookie cookie) const -> const UpstreamEntry *;
 
-    /// Returns the index of an entry of this directory. Precondition: it is one.
+    /// Returns the index of an entry. Precondition: `entry` is of this directory.
     [[nodiscard]] auto indexOf(const UpstreamEntry &entry) const -> std::uint32_t
     {
-        return static_cast<std::uint32_t>(&entry - this->slots.data());
+        return static_cast<std::uint32_t>(&entry - this->entrySlots.data());
     }
 
-    /// Returns the entry at `index`. Precondition: it came from this directory.
-    [[nodiscard]] auto at(std::uint32_t index) -> UpstreamEntry & { return this->slots[index]; }
+    /// Returns the entry at `index`. Precondition: this directory returned `index`.
+    [[nodiscard]] auto at(std::uint32_t index) -> UpstreamEntry &
+    {
+        return this->entrySlots[index];
+    }
     [[nodiscard]] auto at(std::uint32_t index) const -> const UpstreamEntry &
     {
-        return this->slots[index];
+        return this->entrySlots[index];
     }
 
-    /// Counts a request of this host's flows that begins at an entry, or one that ended.
+    /// Counts a request of one of this host's flows as started or ended at an entry.
     /// Precondition: `entry` is of this directory.
     auto beginRequest(UpstreamEntry &entry) -> void;
     auto endRequest(UpstreamEntry &entry) -> void;
 
-    /// Returns the upstreams of `service` for new flows; empty for an unknown one.
+    /// Returns the upstreams of `service` that accept new flows; empty for an unknown service.
     [[nodiscard]] auto poolOf(ServiceId service) -> const ServicePool &;
 
-    /// Has the pools made anew: an entry's evidence or presence changed. Precondition: none.
+    /// Invalidates the pools after a change of an entry's evidence or presence; the next
+    /// `poolOf()` rebuilds them. Precondition: none.
     auto touchPools() -> void { this->poolsStale = true; }
 
     /// Returns whether an entry accepts new flows. Does not consider whether it is silent.
     /// Precondition: `entry` is of this directory.
-    [[nodiscard]] auto isOpen(const UpstreamEntry &entry) const -> bool;
+    [[nodiscard]] auto acceptsNewFlows(const UpstreamEntry &entry) const -> bool;
 
-    /// Returns whether an opening packet may be sent to an entry now: new flows may go there, and
-    /// a cold limit leaves room for another request. Precondition: `entry` is of this directory.
+    /// Returns whether an opening packet may be sent to an entry now: it accepts new flows, and
+    /// its cold limit, if one applies, allows another request.
+    /// Precondition: `entry` is of this directory.
     [[nodiscard]] auto acceptsOpening(const UpstreamEntry &entry) const -> bool;
 
-    /// Returns the cold limit of a service, or null where it has none.
+    /// Returns the cold limit of a service, or null if it has none.
     [[nodiscard]] auto coldLimitOf(ServiceId service) const -> const ColdLimit *;
 
-    /// Returns the number of upstreams to which a cold limit applies now.
+    /// Returns the number of upstreams to which a cold limit currently applies.
     [[nodiscard]] auto coldLimitedCount() const -> std::size_t { return this->coldLimited; }
 
     /// Lifts the limits of upstreams that are no longer cold. Precondition: none.
@@ -113,51 +121,56 @@
         return this->zoneEvacuations;
     }
 
-    /// Returns all entries, unused slots (of no instance) included.
-    [[nodiscard]] auto entries() const -> const std::vector<UpstreamEntry> & { return this->slots; }
+    /// Returns all entries, including unused slots, whose instance is invalid.
+    [[nodiscard]] auto entries() const -> const std::vector<UpstreamEntry> &
+    {
+        return this->entrySlots;
+    }
 
-    /// Returns the number of upstreams that are listed.
+    /// Returns the number of entries with `Presence::Listed`.
     [[nodiscard]] auto listedCount() const -> std::size_t { return this->listed; }
 
 private:
-    auto takeRecord(const DirectoryRecord &record, MonoTime now, DirectoryChanges &changes) -> void;
-    auto takeFault(const DirectoryFault &fault, DirectoryChanges &changes) -> void;
-    auto beginLife(UpstreamEntry &entry, DirectoryChanges &changes) -> void;
-    auto takeRemoval(const DirectoryRemoval &removal, Duration settlesIn, MonoTime now,
-                     DirectoryChanges &changes) -> void;
-    auto takeAbsent(const DirectoryUpdate &update, MonoTime now, DirectoryChanges &changes) -> void;
-    auto takeRows(const std::shared_ptr<const PacketRows> &rows, MonoTime now,
-                  DirectoryChanges &changes) -> void;
+    auto applyRecord(const DirectoryRecord &record, MonoTime now, DirectoryChanges &changes)
+            -> void;
+    auto applyFault(const DirectoryFault &fault, DirectoryChanges &changes) -> void;
+    auto resetAfterRestart(UpstreamEntry &entry, DirectoryChanges &changes) -> void;
+    auto applyRemoval(const DirectoryRemoval &removal, Duration settlesIn, MonoTime now,
+                      DirectoryChanges &changes) -> void;
+    auto removeAbsent(const DirectoryUpdate &update, MonoTime now, DirectoryChanges &changes)
+            -> void;
+    auto applyRows(const std::shared_ptr<const PacketRows> &rows, MonoTime now,
+                   DirectoryChanges &changes) -> void;
     auto updateColdLimit(UpstreamEntry &entry, MonoTime now) -> void;
     auto assumeZoneCold(ZoneId zone, Revision at, MonoTime now) -> void;
-    auto takeEvacuations(const DirectoryUpdate &update, MonoTime now, DirectoryChanges &changes)
+    auto applyEvacuations(const DirectoryUpdate &update, MonoTime now, DirectoryChanges &changes)
             -> void;
     auto add(const DirectoryRecord &record) -> UpstreamEntry &;
     auto claimCookie(UpstreamEntry &entry, DirectoryChanges &changes) -> void;
     auto releaseCookie(const UpstreamEntry &entry) -> void;
     auto remove(UpstreamEntry &entry, MonoTime now, DirectoryChanges &changes) -> void;
-    auto settleMissing(UpstreamEntry &entry, MonoTime now, DirectoryChanges &changes) -> void;
+    auto resolveMissing(UpstreamEntry &entry, MonoTime now, DirectoryChanges &changes) -> void;
     auto forget(UpstreamEntry &entry) -> void;
-    auto makePools() -> void;
-    auto pool(UpstreamEntry &entry) -> void;
+    auto rebuildPools() -> void;
+    auto addToPool(UpstreamEntry &entry) -> void;
 
     ZoneId ownZone;
     bool enforcesColdLimits = true;
-    Revision known;
-    Revision forgotten; ///< Of the newest tombstone that was forgotten.
-    std::vector<UpstreamEntry> slots;
+    Revision knownRevision;
+    Revision newestForgotten; ///< Revision of the newest deleted tombstone.
+    std::vector<UpstreamEntry> entrySlots;
     std::vector<std::uint32_t> freeSlots;
     std::unordered_map<InstanceId, std::uint32_t> byInstance;
     std::unordered_map<Cookie, std::uint32_t> cookies;
     std::unordered_map<ServiceId, ServicePool> pools;
-    std::shared_ptr<const PacketRows> published;
-    MonoTime firstRows; ///< When the first rows were taken.
+    std::shared_ptr<const PacketRows> currentRows;
+    MonoTime firstRowsAt; ///< When the first rows were received.
     std::unordered_map<Address, RowEntry> rowsByAddress;
     ZoneEvacuations zoneEvacuations;
     std::unordered_map<ServiceId, ColdLimit> coldLimits;
     std::size_t coldLimited = 0; ///< Entries with `isColdLimited` set.
     std::size_t listed = 0;
-    std::size_t unsettled = 0; ///< Missing entries and tombstones.
+    std::size_t unlistedEntries = 0; ///< Missing entries and tombstones.
     bool poolsStale = false;
 };
 
--- a/src/core/directory/directorycontroller.cpp
+++ b/src/core/directory/directorycontroller.cpp
@@ -1,4 +1,4 @@
-/// When to read the directory, what to ask of other hosts, and whom to tell.
+/// Schedules directory reads, requests to other hosts and pushes of changes.
 #include "core/directory/directorycontroller.h"
 
 #include "core/blackboard.h"
@@ -22,55 +22,58 @@
 
 namespace {
 
-/// Returns a pause drawn from the upper half of `pause`, so that hosts do not read in step.
+/// Returns a random duration between half of `pause` and `pause`, so that hosts do not retry at
+/// the same time.
 auto jittered(Blackboard &board, Duration pause) -> Duration
 {
     std::uniform_int_distribution<Duration::rep> draw(pause.count() / 2, pause.count());
     return Duration(draw(board.random));
 }
 
-/// Sends hosts what they lack, if they are connected and not known to have it.
+/// Sends changes to the connected hosts that are not known to have them.
 ///
-/// To the hosts that lack just `update` it goes as one message, encoded once: rows of 42 KB take
+/// Hosts that lack only `update` receive it as one message that is encoded once: rows of 42 KB take
 /// 0.6 ms to encode, and a hub sends them to 24 hosts.
 auto push(Blackboard &board, const std::vector<HostId> &hosts, const DirectoryUpdate &update)
         -> void
 {
-    std::vector<HostId> behindByThis;
+    std::vector<HostId> recipients;
     for (const auto host : hosts) {
         auto *record = board.membership.record(host);
         if (record == nullptr || !record->connected || !(record->directory < update.upTo)) {
             continue;
         }
         if (!record->directory.isValid()) {
-            continue; // Without a revision it reads or requests the whole directory itself.
+            continue; // A host without a revision reads or requests the whole directory itself.
         }
         if (record->directory < update.after) {
             sendPeer(board, host, board.directory.updateSince(record->directory, board.now.mono));
         } else {
-            behindByThis.push_back(host);
+            recipients.push_back(host);
         }
         record->directory = update.upTo;
     }
-    sendPeers(board, std::move(behindByThis), update);
+    sendPeers(board, std::move(recipients), update);
 }
 
-/// Tells the hosts of the zone, and one of each other, that this host's reads fail or no longer do.
-auto tellReadsFail(Blackboard &board) -> void
+/// Sends the connected hosts of the zone, and one host of each other zone, whether this host's
+/// reads fail.
+auto sendReadStatus(Blackboard &board) -> void
 {
     for (const auto &[id, record] : board.membership.records()) {
         if (record.connected && isInOwnZone(board, record)) {
             sendPeer(board, id, Ping { 0, makeGossip(board, id) });
         }
     }
-    for (const auto host : directoryBridges(board)) {
+    for (const auto host : crossZoneRecipients(board)) {
         sendPeer(board, host, Ping { 0, makeGossip(board, host) });
     }
 }
 
-/// Returns for how long nothing newer may be heard before a host reads for itself.
+/// Returns the age of the last known successful read at which a host reads the platform itself.
 ///
-/// Word of a read travels by gossip: each doubling of a zone's hosts takes another round.
+/// News of a read spreads by gossip, which takes one more round for each doubling of a zone's
+/// hosts.
 auto staleAfter(const Blackboard &board) -> Duration
 {
     const auto hosts = board.membership.candidates(board.init.self.zone).size();
@@ -78,12 +81,13 @@
     return config::directoryStale + config::probePeriod * static_cast<int>(rounds);
 }
 
-/// Returns for how long a host waits for changes to be pushed before it asks `newer` for them.
+/// Returns how long a host waits for changes to be pushed before it requests them from `newer`.
 ///
-/// Guards against all hosts asking at once for what is on its way: a version of 1,100 rows is
-/// 42 KB and takes 0.6 ms to encode and 1.3 ms to decode. With 87 hosts of a twentieth of a core
-/// and a storm of versions, served requests rose from 0.88 to 0.99 of all.
-auto patienceWith(const Blackboard &board, const MemberRecord &newer) -> Duration
+/// Prevents all hosts from requesting changes that are already being pushed: a version of 1,100
+/// rows is 42 KB and takes 0.6 ms to encode and 1.3 ms to decode. On 87 hosts with a twentieth of a
+/// core each and frequent new versions, the wait raised the share of served requests from 0.88 to
+/// 0.99.
+auto requestDelay(const Blackboard &board, const MemberRecord &newer) -> Duration
 {
     if (!isLargeFleet(board) || !board.directory.revision().isValid()) {
         return Duration(0);
@@ -120,22 +124,22 @@
 auto DirectoryController::read(Blackboard &board, const ReadDirectory &action) -> void
 {
     ++board.stats.platformReads;
-    this->asked = true;
-    this->givenUp = board.now.mono + action.wait + 2 * config::directoryReadMargin;
+    this->readPending = true;
+    this->readDeadline = board.now.mono + action.wait + 2 * config::directoryReadMargin;
     board.act(action);
 }
 
 auto DirectoryController::on(Blackboard &board, const DirectoryRead &read) -> void
 {
-    this->asked = false;
-    this->readsAll = false;
+    this->readPending = false;
+    this->needsFullRead = false;
     this->standIn.noteRead(true);
     this->backoff = Duration(0);
     this->platformAnswered(board);
     auto update = read.update;
-    update.settlesIn = this->settlingTime(board);
+    update.settlesIn = this->removalDelay(board);
     const auto hasChanges = board.directory.revision() < update.upTo;
-    this->adopt(board, update, board.init.self.id);
+    this->applyUpdate(board, update, board.init.self.id);
     this->nextRead = board.now.mono;
     if (hasChanges) {
         const auto isRollout = board.now.mono - this->lastChange < 2 * config::directoryGather;
@@ -146,11 +150,11 @@
 
 auto DirectoryController::on(Blackboard &board, const DirectoryReadFailed &failed) -> void
 {
-    this->asked = false;
+    this->readPending = false;
     ++board.stats.platformFailures;
     if (failed.failure == DirectoryFailure::Forgotten) {
-        // The platform answers; it only lacks the history that was asked for.
-        this->readsAll = true;
+        // The platform answers, but no longer keeps the requested history.
+        this->needsFullRead = true;
         this->nextRead = board.now.mono;
         board.log(LogEvent::PlatformLost, "why=\"" + failed.why + "\"");
         return;
@@ -158,7 +162,7 @@
     this->standIn.noteRead(false);
     if (!std::exchange(board.directoryReadsFail, true)) {
         board.log(LogEvent::PlatformLost, "why=\"" + failed.why + "\"");
-        tellReadsFail(board);
+        sendReadStatus(board);
     }
     this->backoff = std::clamp<Duration>(this->backoff * 2, config::directoryRetryMin,
                                          config::directoryRetryMax);
@@ -168,7 +172,7 @@
 auto DirectoryController::on(Blackboard &board, const DirectoryItemsFaulty &faulty) -> void
 {
     board.stats.directoryFaults += faulty.count;
-    // A host that reads everything again finds the same faults each time.
+    // Repeated full reads find the same faults; log them only when they change.
     if (std::exchange(this->lastFaults, faulty.what) != faulty.what) {
         board.log(LogEvent::DirectoryRefused,
                   "items=" + std::to_string(faulty.count) + " what=\"" + faulty.what + "\"");
@@ -179,7 +183,7 @@
 {
     auto *record = board.membership.record(up.member.id);
     if (record != nullptr) {
-        record->directory = Revision(); // A new process may know nothing.
+        record->directory = Revision(); // A new process may have no directory yet.
     }
 }
 
@@ -201,25 +205,25 @@
         if (auto *record = board.membership.record(received.from)) {
             record->directory = std::max(record->directory, update->upTo);
         }
-        this->noteRegained(board);
-        auto believed = *update;
-        believed.settlesIn = std::max(believed.settlesIn, this->settlingTime(board));
-        this->adopt(board, believed, received.from);
+        this->noteContactRegained(board);
+        auto accepted = *update;
+        accepted.settlesIn = std::max(accepted.settlesIn, this->removalDelay(board));
+        this->applyUpdate(board, accepted, received.from);
     }
 }
 
-auto DirectoryController::noteRegained(Blackboard &board) -> void
+auto DirectoryController::noteContactRegained(Blackboard &board) -> void
 {
     if (board.config.platformKnown
         && board.config.platformAge(board.now.mono) > config::directoryStale) {
-        this->everLost = true;
-        this->platformBack = board.now.mono;
+        this->hadOutage = true;
+        this->platformRegainedAt = board.now.mono;
     }
 }
 
 auto DirectoryController::noteGossip(Blackboard &board, HostId from, const Gossip &gossip) -> void
 {
-    this->noteRegained(board);
+    this->noteContactRegained(board);
     notePlatformAge(board, gossip);
     auto *record = board.membership.record(from);
     if (record == nullptr) {
@@ -228,18 +232,18 @@
     record->directory = gossip.directory;
     record->readsFail = gossip.readsFail;
     if (board.directory.revision() < gossip.directory) {
-        this->askIfDue(board, *record);
+        this->requestIfDue(board, *record);
     }
 }
 
-auto DirectoryController::askIfDue(Blackboard &board, const MemberRecord &newer) -> void
+auto DirectoryController::requestIfDue(Blackboard &board, const MemberRecord &newer) -> void
 {
     const auto now = board.now.mono;
     this->behindSince = this->behindSince.value_or(now);
     if (this->awaitsFirstRead(board, newer)) {
         return;
     }
-    if (now < this->nextRequest || now - *this->behindSince < patienceWith(board, newer)) {
+    if (now < this->nextRequest || now - *this->behindSince < requestDelay(board, newer)) {
         return;
     }
     if (sendPeer(board, newer.member.id, DirectoryRequest { board.directory.revision() })) {
@@ -250,7 +254,7 @@
 auto DirectoryController::awaitsFirstRead(const Blackboard &board, const MemberRecord &newer) const
         -> bool
 {
-    if (!this->asked || board.directory.revision().isValid()) {
+    if (!this->readPending || board.directory.revision().isValid()) {
         return false;
     }
     const auto isWithinWait =
@@ -261,10 +265,11 @@
 auto DirectoryController::on(Blackboard &board, const Tick & /*tick*/) -> void
 {
     const auto now = board.now.mono;
-    if (this->asked && now >= this->givenUp) {
-        this->on(board, DirectoryReadFailed { DirectoryFailure::Unreachable, "no answer" });
+    if (this->readPending && now >= this->readDeadline) {
+        this->on(board,
+                 DirectoryReadFailed { DirectoryFailure::Unreachable, "directory read timed out" });
     }
-    logChanges(board, board.directory.settle(now));
+    logChanges(board, board.directory.processRemovals(now));
     this->readIfDue(board);
 }
 
@@ -280,14 +285,14 @@
     }
     const auto now = board.now.mono;
     const auto recheck = board.directoryReadsFail && now >= this->nextRecheck;
-    return isDirectoryReader(board) || recheck || StandIn::isTakeover(board)
+    return isDirectoryReader(board) || recheck || StandIn::isHubTakeover(board)
            || board.config.platformAge(now) > staleAfter(board);
 }
 
 auto DirectoryController::readIfDue(Blackboard &board) -> void
 {
     const auto now = board.now.mono;
-    if (this->asked || now < this->nextRead || board.stop.stopping) {
+    if (this->readPending || now < this->nextRead || board.stop.stopping) {
         return;
     }
     if (!this->isReadDue(board)) {
@@ -296,21 +301,22 @@
     const auto reader = isDirectoryReader(board);
     this->nextRecheck = now + config::directoryRecheck;
     ReadDirectory action;
-    const auto isWhole = this->readsAll || !board.directory.revision().isValid();
+    const auto isWhole = this->needsFullRead || !board.directory.revision().isValid();
     action.after = isWhole ? Revision() : board.directory.revision();
-    action.mayBeLate = isWhole && !this->readsAll;
-    // Where nobody was heard to read, whether the platform answers is to be known soon.
-    const auto isHeard = board.config.platformAge(now) <= config::directorySilence;
-    action.wait =
-            reader && !isWhole && isHeard ? Duration(config::directoryWatchWait) : Duration(0);
+    action.mayBeLate = isWhole && !this->needsFullRead;
+    // If no recent successful read is known, read without waiting for changes, so as to find out
+    // soon whether the platform answers.
+    const auto isRecentlyRead = board.config.platformAge(now) <= config::directorySilence;
+    action.wait = reader && !isWhole && isRecentlyRead ? Duration(config::directoryWatchWait)
+                                                       : Duration(0);
     this->read(board, action);
 }
 
-auto DirectoryController::adopt(Blackboard &board, const DirectoryUpdate &update, HostId from)
+auto DirectoryController::applyUpdate(Blackboard &board, const DirectoryUpdate &update, HostId from)
         -> void
 {
-    if (!board.directory.canTake(update)) {
-        return; // Changes before it are missing; gossip asks for them.
+    if (!board.directory.canApply(update)) {
+        return; // Earlier changes are missing; the next gossip triggers a request for them.
     }
     const auto changes = board.directory.take(update, board.now.mono);
     if (!changes.advanced) {
@@ -322,7 +328,7 @@
     logChanges(board, changes);
     push(board, spreadTargets(board, from), update);
     if (from == board.membership.self) {
-        push(board, directoryBridges(board), update);
+        push(board, crossZoneRecipients(board), update);
     }
 }
 
@@ -333,23 +339,23 @@
     board.config.notePlatform(board.now.mono);
     const auto failed = std::exchange(board.directoryReadsFail, false);
     if (failed || wasSilent) {
-        this->everLost = true;
-        this->platformBack = board.now.mono;
+        this->hadOutage = true;
+        this->platformRegainedAt = board.now.mono;
     }
     if (!failed) {
         return;
     }
-    tellReadsFail(board);
+    sendReadStatus(board);
     board.log(LogEvent::PlatformBack,
               "directory=" + std::to_string(board.directory.revision().number));
 }
 
-auto DirectoryController::settlingTime(const Blackboard &board) const -> Duration
+auto DirectoryController::removalDelay(const Blackboard &board) const -> Duration
 {
-    if (!this->everLost) {
+    if (!this->hadOutage) {
         return Duration(0);
     }
-    const Duration left = this->platformBack + config::reappearTime - board.now.mono;
+    const Duration left = this->platformRegainedAt + config::reappearTime - board.now.mono;
     return std::max(left, Duration(0));
 }
 
--- a/src/core/directory/directorylog.cpp
+++ b/src/core/directory/directorylog.cpp
@@ -1,4 +1,4 @@
-/// One line a belief that changed.
+/// Formats and writes the log lines of directory changes.
 #include "core/directory/directorylog.h"
 
 #include "core/blackboard.h"
@@ -11,55 +11,56 @@
 
 namespace {
 
-constexpr std::size_t namesMax = 64; ///< Upstreams named in one line.
-/// Upstreams of one change that get a line each: 600 upstreams that came in some ten changes were
-/// 177,000 lines on 295 hosts.
-constexpr std::size_t linesMax = 8;
-constexpr std::size_t evacuationLinesMax = 32; ///< Evacuations logged for one change.
+constexpr std::size_t namesPerLineMax = 64; ///< Upstream names per log line.
+/// Up to this many upstreams of one change get a line each; more are logged by name only. With a
+/// line each, 600 upstreams that registered in some ten changes made 177,000 lines on 295 hosts.
+constexpr std::size_t upstreamLinesMax = 8;
+constexpr std::size_t evacuationLinesMax = 32; ///< Evacuations logged per change.
 
-auto sourceOf(const Blackboard &board) -> std::string
+auto describeDirectory(const Blackboard &board) -> std::string
 {
     return " directory=" + std::to_string(board.directory.revision().number) + " platform_age_ms="
            + std::to_string(milliseconds(board.config.platformAge(board.now.mono)));
 }
 
-auto logOne(Blackboard &board, LogEvent event, std::uint32_t index) -> void
+auto logUpstream(Blackboard &board, LogEvent event, std::uint32_t index) -> void
 {
     const auto &entry = board.directory.at(index);
     board.log(event, describeUpstream(entry) + " changed=" + std::to_string(entry.newest.number)
-                             + sourceOf(board));
+                             + describeDirectory(board));
 }
 
-/// Logs up to `namesMax` upstreams from `begin` on in one line.
+/// Logs the names of up to `namesPerLineMax` upstreams, starting at `begin`, in one line.
 auto logNames(Blackboard &board, LogEvent event, const std::vector<std::uint32_t> &indices,
               std::size_t begin) -> void
 {
-    const auto end = std::min(indices.size(), begin + namesMax);
+    const auto end = std::min(indices.size(), begin + namesPerLineMax);
     std::string names;
     for (auto i = begin; i < end; ++i) {
         names += (names.empty() ? "" : ",") + board.directory.at(indices[i]).record.upstream.name;
     }
-    board.log(event,
-              "upstreams=" + std::to_string(end - begin) + " names=" + names + sourceOf(board));
+    board.log(event, "upstreams=" + std::to_string(end - begin) + " names=" + names
+                             + describeDirectory(board));
 }
 
 auto logAllNames(Blackboard &board, LogEvent event, const std::vector<std::uint32_t> &indices)
         -> void
 {
-    for (std::size_t begin = 0; begin < indices.size(); begin += namesMax) {
+    for (std::size_t begin = 0; begin < indices.size(); begin += namesPerLineMax) {
         logNames(board, event, indices, begin);
     }
 }
 
-/// Logs few upstreams in a line each, and many of them by their names.
-auto logEach(Blackboard &board, LogEvent event, const std::vector<std::uint32_t> &indices) -> void
+/// Logs up to `upstreamLinesMax` upstreams in a line each; more than that only by name.
+auto logUpstreams(Blackboard &board, LogEvent event, const std::vector<std::uint32_t> &indices)
+        -> void
 {
-    if (indices.size() > linesMax) {
+    if (indices.size() > upstreamLinesMax) {
         logAllNames(board, event, indices);
         return;
     }
     for (const auto index : indices) {
-        logOne(board, event, index);
+        logUpstream(board, event, index);
     }
 }
 
@@ -69,7 +70,7 @@
     if (isFirst) {
         logAllNames(board, LogEvent::DirectoryLoaded, indices);
     } else {
-        logEach(board, LogEvent::UpstreamListed, indices);
+        logUpstreams(board, LogEvent::UpstreamListed, indices);
     }
 }
 
@@ -91,7 +92,7 @@
     board.log(order.inForce ? LogEvent::ZoneEvacuated : LogEvent::ZoneTakenBack,
               "zone=" + order.zoneName
                       + " upstreams=" + std::to_string(listedCountIn(board, order.zone))
-                      + " changed=" + std::to_string(order.at.number) + sourceOf(board));
+                      + " changed=" + std::to_string(order.at.number) + describeDirectory(board));
 }
 
 } // namespace
@@ -106,12 +107,12 @@
 auto logChanges(Blackboard &board, const DirectoryChanges &changes) -> void
 {
     logListed(board, changes.listed);
-    logEach(board, LogEvent::UpstreamLeaving, changes.leaving);
-    logEach(board, LogEvent::UpstreamMissing, changes.missing);
-    logEach(board, LogEvent::UpstreamRemoved, changes.removed);
-    logEach(board, LogEvent::UpstreamRestarted, changes.restarted);
-    logEach(board, LogEvent::UpstreamUnusable, changes.faulty);
-    logEach(board, LogEvent::CookieShared, changes.sharedCookie);
+    logUpstreams(board, LogEvent::UpstreamLeaving, changes.leaving);
+    logUpstreams(board, LogEvent::UpstreamMissing, changes.missing);
+    logUpstreams(board, LogEvent::UpstreamRemoved, changes.removed);
+    logUpstreams(board, LogEvent::UpstreamRestarted, changes.restarted);
+    logUpstreams(board, LogEvent::UpstreamUnusable, changes.faulty);
+    logUpstreams(board, LogEvent::CookieShared, changes.sharedCookie);
     for (std::size_t i = 0; i < std::min(changes.evacuations.size(), evacuationLinesMax); ++i) {
         logEvacuation(board, changes.evacuations[i]);
     }
@@ -119,7 +120,7 @@
         const auto &rows = *board.directory.rows();
         board.log(LogEvent::RowsAccepted, "version=" + std::to_string(rows.version)
                                                   + " rows=" + std::to_string(rows.rows.size())
-                                                  + sourceOf(board));
+                                                  + describeDirectory(board));
     }
 }
 
--- a/src/core/directory/directorylog.h
+++ b/src/core/directory/directorylog.h
@@ -1,4 +1,4 @@
-/// The log's lines on changes of the directory.
+/// Log lines for directory changes.
 #pragma once
 
 #include <string>
@@ -9,10 +9,10 @@
 struct DirectoryChanges;
 struct UpstreamEntry;
 
-/// Returns what a log line says of an upstream: its name, service, zone and address.
+/// Returns an upstream's name, service, zone and address as fields of a log line.
 [[nodiscard]] auto describeUpstream(const UpstreamEntry &entry) -> std::string;
 
-/// Logs each change, with the revision that brought it and how old the platform's word is.
+/// Logs each change with the directory's revision and the time since the platform was last heard.
 auto logChanges(Blackboard &board, const DirectoryChanges &changes) -> void;
 
 } // namespace flamingograde
--- a/src/core/directory/readerelection.cpp
+++ b/src/core/directory/readerelection.cpp
@@ -1,4 +1,4 @@
-/// Candidates of zones, and the zones that read.
+/// Elects a candidate per zone, and the zones whose candidates read the directory.
 #include "core/directory/readerelection.h"
 
 #include "core/blackboard.h"
@@ -13,18 +13,18 @@
 
 namespace {
 
-/// The key under which zones are drawn whose candidates read.
-const auto zoneKey = hashName("directory reader");
+/// Rendezvous key that selects the zones whose candidates read.
+const auto readerZonesKey = hashName("directory reader");
 
-/// A zone's candidate.
+/// The host of a zone that reads the directory if its zone is selected.
 struct Candidate
 {
     HostId host;
-    bool fails = false; ///< Its reads fail, as those of all reachable hosts of its zone.
+    bool hasFailingReads = false; ///< Then so do those of all reachable hosts of its zone.
     HubRank rank;
 };
 
-/// Returns whether this host hears from another one.
+/// Returns whether this host has a working connection to another one, or is that host.
 auto isReachable(const Blackboard &board, const MemberRecord &record) -> bool
 {
     const auto isSelf = record.member.id == board.membership.self;
@@ -36,21 +36,21 @@
     return record.member.id == board.membership.self ? board.directoryReadsFail : record.readsFail;
 }
 
-/// Returns whether `a` goes before `b`.
+/// Returns whether `a` is preferred to `b`: working reads first, then the better rank.
 ///
-/// A reader's link carries each version from the platform, and to each host of its zone. A storm
-/// of three versions a second of 1,931 rows, several hundred kilobytes each, kept one of 10 Mbit/s
-/// busy for 5 s, in which it took no packet of a caller.
-auto isBetter(const Candidate &a, const Candidate &b) -> bool
+/// A reader's link carries each version from the platform and to each host of its zone, so wide
+/// links rank first. Three versions a second of 1,931 rows, several hundred kilobytes each, kept a
+/// link of 10 Mbit/s busy for 5 s, during which the host received no packet of a caller.
+auto isPreferred(const Candidate &a, const Candidate &b) -> bool
 {
-    if (a.fails != b.fails) {
-        return b.fails;
+    if (a.hasFailingReads != b.hasFailingReads) {
+        return b.hasFailingReads;
     }
     return a.rank.isBefore(b.rank);
 }
 
-/// Returns the candidate of each zone that has a reachable host.
-auto candidatesOf(const Blackboard &board) -> std::map<ZoneId, Candidate>
+/// Returns the candidate of each zone that has at least one reachable host.
+auto candidatesByZone(const Blackboard &board) -> std::map<ZoneId, Candidate>
 {
     std::map<ZoneId, Candidate> candidates;
     for (const auto &[id, record] : board.membership.records()) {
@@ -59,7 +59,7 @@
         }
         const Candidate candidate { id, readsFail(board, record), hubRankOf(record.member) };
         const auto [found, added] = candidates.emplace(record.member.zone, candidate);
-        if (!added && isBetter(candidate, found->second)) {
+        if (!added && isPreferred(candidate, found->second)) {
             found->second = candidate;
         }
     }
@@ -70,26 +70,26 @@
 
 auto isDirectoryReader(const Blackboard &board) -> bool
 {
-    const auto candidates = candidatesOf(board);
+    const auto candidates = candidatesByZone(board);
     const auto own = candidates.find(board.init.self.zone);
     if (own == candidates.end() || own->second.host != board.membership.self) {
         return false;
     }
     const auto rankOf = [](const std::pair<const ZoneId, Candidate> &entry) {
-        const auto score = rendezvousScore(zoneKey, { entry.first.value() });
-        return Candidate { entry.second.host, entry.second.fails, HubRank { 0, score } };
+        const auto score = rendezvousScore(readerZonesKey, { entry.first.value() });
+        return Candidate { entry.second.host, entry.second.hasFailingReads, HubRank { 0, score } };
     };
-    std::size_t better = 0;
+    std::size_t preferred = 0;
     for (const auto &entry : candidates) {
-        better += isBetter(rankOf(entry), rankOf(*own)) ? 1 : 0;
+        preferred += isPreferred(rankOf(entry), rankOf(*own)) ? 1 : 0;
     }
-    return better < config::directoryReaderZones;
+    return preferred < config::directoryReaderZones;
 }
 
-auto directoryBridges(const Blackboard &board) -> std::vector<HostId>
+auto crossZoneRecipients(const Blackboard &board) -> std::vector<HostId>
 {
     std::vector<HostId> hosts;
-    for (const auto &[zone, candidate] : candidatesOf(board)) {
+    for (const auto &[zone, candidate] : candidatesByZone(board)) {
         if (zone != board.init.self.zone) {
             hosts.push_back(candidate.host);
         }
--- a/src/core/directory/readerelection.h
+++ b/src/core/directory/readerelection.h
@@ -1,4 +1,4 @@
-/// Which hosts read the platform's directory.
+/// Election of the hosts that read the platform's directory.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -9,17 +9,17 @@
 
 class Blackboard;
 
-/// Returns whether this host is to watch the directory.
+/// Returns whether this host is elected to watch the directory.
 ///
-/// Each availability zone has one candidate: of its hosts that this one reaches and whose reads do
-/// not fail, that with the widest link, among equals the first by rendezvous; where the reads of
-/// all fail, the first of all. The candidates of `config::directoryReaderZones` zones read, so that
-/// the cut of one zone leaves a reader; the others hear from them through their hubs.
-/// Precondition: `board.now` is set.
+/// Each availability zone has one candidate. Among the zone's hosts that this host reaches and
+/// whose reads do not fail, it is the one with the widest link; ties are broken by rendezvous hash.
+/// If the reads of all of them fail, they are ranked the same way. The candidates of
+/// `config::directoryReaderZones` zones read, so that a partition of one zone leaves a reader;
+/// other hosts receive changes from them through their hubs. Precondition: `board.now` is set.
 [[nodiscard]] auto isDirectoryReader(const Blackboard &board) -> bool;
 
-/// Returns one host of each other zone, to be told what this host read.
-/// Precondition: as above.
-[[nodiscard]] auto directoryBridges(const Blackboard &board) -> std::vector<HostId>;
+/// Returns the candidate of each other zone, to which this host sends what it read.
+/// Precondition: `board.now` is set.
+[[nodiscard]] auto crossZoneRecipients(const Blackboard &board) -> std::vector<HostId>;
 
 } // namespace flamingograde
--- a/src/core/directory/rowentry.h
+++ b/src/core/directory/rowentry.h
@@ -1,4 +1,4 @@
-/// A packet row with what this process remembers of it.
+/// A packet row with the state that this process keeps for it.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -8,11 +8,13 @@
 
 namespace flamingograde {
 
-/// A row in force.
+/// A current row.
 struct RowEntry
 {
-    const PacketRow *row = nullptr; ///< Part of the rows in force.
-    std::vector<ServiceId> had; ///< Every service it has or had: open flows stay where they are.
+    const PacketRow *row = nullptr; ///< Points into the current `PacketRows`.
+    /// Every service that the row has or had while this process ran: open flows stay with the
+    /// service at which they were opened.
+    std::vector<ServiceId> had;
 };
 
 } // namespace flamingograde
--- a/src/core/directory/servicepool.h
+++ b/src/core/directory/servicepool.h
@@ -1,4 +1,4 @@
-/// The upstreams of one service that new flows may go to.
+/// The upstreams of one service that accept new flows.
 #pragma once
 
 #include <cstdint>
@@ -6,16 +6,16 @@
 
 namespace flamingograde {
 
-/// Indices of a service's entries, by how welcome a new flow is there.
+/// Indices of a service's entries, grouped by their suitability for new flows.
 struct ServicePool
 {
-    std::vector<std::uint32_t> near; ///< Own zone, answering.
-    std::vector<std::uint32_t> far;  ///< Other zones, answering.
-    std::vector<std::uint32_t> cold; ///< Own zone, cold-limited; this host has a share.
-    std::vector<std::uint32_t>
-            silent;              ///< Used where nothing else is left; else tried now and then.
-    std::uint32_t nearSlots = 0; ///< Slots of `near`.
-    std::uint32_t nearBusy = 0;  ///< Requests of this host's flows under way at `near`.
+    std::vector<std::uint32_t> near; ///< In the own zone, answering.
+    std::vector<std::uint32_t> far;  ///< In other zones, answering.
+    std::vector<std::uint32_t> cold; ///< In the own zone, cold-limited; this host has a share.
+    /// Not answering: used if no other upstream is left; otherwise retried occasionally.
+    std::vector<std::uint32_t> silent;
+    std::uint32_t nearSlots = 0; ///< Sum of the slots of `near`.
+    std::uint32_t nearBusy = 0;  ///< Pending requests of this host's flows at `near`.
 };
 
 } // namespace flamingograde
--- a/src/core/directory/standin.cpp
+++ b/src/core/directory/standin.cpp
@@ -1,4 +1,4 @@
-/// Who tries when, in place of the hubs.
+/// Schedules directory reads in place of the zone's hubs.
 #include "core/directory/standin.h"
 
 #include "core/blackboard.h"
@@ -17,34 +17,37 @@
 
 using namespace std::chrono_literals;
 
-/// Mean time between two tries of a zone. A try on a silent platform takes 0.7 s to fail; of three
-/// hubs that are turned away while others are not, the zone hears again after one of these.
-constexpr Duration trySpacing = 250ms;
+/// Mean time between two read attempts in a zone. An attempt at a platform that does not answer
+/// takes 0.7 s to fail. If the platform rejects only the zone's three hubs, the zone hears from it
+/// again after one such interval.
+constexpr Duration attemptSpacing = 250ms;
 
-/// Returns whether a connected hub of the zone satisfies `isSo`.
+/// Returns whether a connected, answering hub of the zone satisfies `predicate`.
 template<typename Predicate>
-auto anyHub(const Blackboard &board, Predicate isSo) -> bool
+auto anyConnectedHub(const Blackboard &board, Predicate predicate) -> bool
 {
     return std::any_of(board.links.hubs.begin(), board.links.hubs.end(), [&](HostId hub) {
         const auto *record = board.membership.record(hub);
-        return record != nullptr && record->connected && !record->unanswered && isSo(*record);
+        return record != nullptr && record->connected && !record->unanswered && predicate(*record);
     });
 }
 
-/// Returns whether nobody reads for this host.
-auto isNeeded(const Blackboard &board, Duration staleAfter) -> bool
+/// Returns whether no other host reads the directory on behalf of this one.
+auto isFallbackNeeded(const Blackboard &board, Duration staleAfter) -> bool
 {
     const auto age = board.config.platformAge(board.now.mono);
-    const auto hubReads =
-            anyHub(board, [](const MemberRecord &record) { return !record.readsFail; });
-    return age > staleAfter || (!hubReads && age > config::directorySilence);
+    const auto anyHubReads =
+            anyConnectedHub(board, [](const MemberRecord &record) { return !record.readsFail; });
+    return age > staleAfter || (!anyHubReads && age > config::directorySilence);
 }
 
-auto drawnWait(Blackboard &board) -> Duration
+/// Returns a random wait; its upper bound grows with the number of hosts in the zone.
+auto randomWait(Blackboard &board) -> Duration
 {
     const auto hosts = board.membership.voters(board.init.self.zone).size();
-    const auto longest = trySpacing * static_cast<Duration::rep>(std::max<std::size_t>(hosts, 1));
-    std::uniform_int_distribution<Duration::rep> draw(0, Duration(longest).count());
+    const auto longestWait =
+            attemptSpacing * static_cast<Duration::rep>(std::max<std::size_t>(hosts, 1));
+    std::uniform_int_distribution<Duration::rep> draw(0, Duration(longestWait).count());
     return Duration(draw(board.random));
 }
 
@@ -53,33 +56,33 @@
 auto StandIn::hasHub(const Blackboard &board) -> bool
 {
     return !board.links.isHub(board.membership.self)
-           && anyHub(board, [](const MemberRecord &) { return true; });
+           && anyConnectedHub(board, [](const MemberRecord &) { return true; });
 }
 
-auto StandIn::isTakeover(const Blackboard &board) -> bool
+auto StandIn::isHubTakeover(const Blackboard &board) -> bool
 {
     return board.links.isHub(board.membership.self)
            && board.config.platformAge(board.now.mono) > config::directorySilence
-           && anyHub(board, [](const MemberRecord &record) { return record.readsFail; });
+           && anyConnectedHub(board, [](const MemberRecord &record) { return record.readsFail; });
 }
 
 auto StandIn::isDue(Blackboard &board, Duration staleAfter) -> bool
 {
-    if (this->stands) {
-        this->stands = isDirectoryReader(board);
-        return this->stands;
+    if (this->isActive) {
+        this->isActive = isDirectoryReader(board);
+        return this->isActive;
     }
-    if (!isNeeded(board, staleAfter)) {
-        this->due.reset();
+    if (!isFallbackNeeded(board, staleAfter)) {
+        this->dueAt.reset();
         return false;
     }
-    if (!this->due) {
-        this->due = board.now.mono + drawnWait(board);
+    if (!this->dueAt) {
+        this->dueAt = board.now.mono + randomWait(board);
     }
-    if (board.now.mono < *this->due) {
+    if (board.now.mono < *this->dueAt) {
         return false;
     }
-    this->due.reset();
+    this->dueAt.reset();
     return true;
 }
 
--- a/src/core/directory/standin.h
+++ b/src/core/directory/standin.h
@@ -1,4 +1,4 @@
-/// Reading the directory in place of a zone's hubs.
+/// Reads of the directory in place of a zone's hubs.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -9,35 +9,37 @@
 
 class Blackboard;
 
-/// When a host that is no hub reads the directory, because no hub of its zone can.
+/// Decides when a host reads the directory itself because the hubs of its zone cannot.
 ///
-/// Each waits for a time of its own that grows with the zone, so that about four hosts of a zone a
-/// second try, and the first that succeeds tells the others through the hubs. Guards the platform
-/// against a call a second of each host while it is down: of 353 hosts, 3,289 calls in a day with
-/// an outage of 5 s and 716 starts.
+/// Each host waits for a random time whose bound grows with the number of hosts in the zone, so
+/// that about four hosts of a zone try per second; the first that succeeds informs the others
+/// through the hubs. Protects the platform against a call per second from each host during an
+/// outage: 353 hosts made 3,289 calls in a day with an outage of 5 s and 716 starts.
 /// @remarks Not thread safe.
 class StandIn
 {
 public:
-    /// Returns whether this host is to leave the reading to a hub that it is connected with.
-    /// Precondition: `board.links` was chosen.
+    /// Returns whether this host is not a hub and is connected to an answering hub, so that it
+    /// reads only if `isDue()`. Precondition: the links in `board.links` have been chosen.
     [[nodiscard]] static auto hasHub(const Blackboard &board) -> bool;
 
-    /// Returns whether this host is a hub, another hub's reads fail, and nobody was heard to read
-    /// since: then all hubs try at once, and not one after the other, each of which would take
-    /// 0.7 s to find a silent platform silent. Precondition: as above.
-    [[nodiscard]] static auto isTakeover(const Blackboard &board) -> bool;
+    /// Returns whether this host is a hub, another hub's reads fail, and no successful read has
+    /// been heard of for `config::directorySilence`. All hubs then try at once: one after the
+    /// other, each would take 0.7 s to notice that the platform does not answer. Precondition: the
+    /// links in `board.links` have been chosen.
+    [[nodiscard]] static auto isHubTakeover(const Blackboard &board) -> bool;
 
-    /// Returns whether to read now. Precondition: to be called on each `Tick`, with the time for
-    /// which nothing newer may be heard.
+    /// Returns whether to read now. Precondition: called on each `Tick`.
+    /// @param staleAfter the age of the last known successful read at which this host has to read
+    /// even if a hub's reads do not fail.
     [[nodiscard]] auto isDue(Blackboard &board, Duration staleAfter) -> bool;
 
-    /// Takes that a read succeeded, or that one failed. Precondition: none.
-    auto noteRead(bool succeeded) -> void { this->stands = succeeded; }
+    /// Records whether a read succeeded. Precondition: none.
+    auto noteRead(bool succeeded) -> void { this->isActive = succeeded; }
 
 private:
-    std::optional<MonoTime> due;
-    bool stands = false; ///< Reads while the hubs cannot.
+    std::optional<MonoTime> dueAt; ///< When to read, while waiting.
+    bool isActive = false; ///< The last read succeeded; ends when another host is elected reader.
 };
 
 } // namespace flamingograde
--- a/src/core/directory/upstreamentry.h
+++ b/src/core/directory/upstreamentry.h
@@ -15,32 +15,32 @@
 /// Whether the platform lists an upstream.
 enum class Presence : std::uint8_t {
     Listed,
-    Missing, ///< Removed, and not believed yet: it may register again.
-    Removed, ///< Gone for good; remembered so that its open flows can be told.
+    Missing, ///< Removed by the platform, but not confirmed: it may register again.
+    Removed, ///< Removal confirmed; kept as a tombstone so that its open flows can be reset.
 };
 
-/// A record with what this host holds of it.
+/// A directory record with the state that this host keeps for it.
 struct UpstreamEntry
 {
     DirectoryRecord record;
-    Revision newest; ///< Of its last change or removal.
+    Revision newest; ///< Revision of the last change or removal.
     Presence presence = Presence::Listed;
-    MonoTime since;         ///< When the presence last changed.
-    MonoTime settles;       ///< Of a missing one: when it counts as removed.
-    MonoTime warmAt;        ///< Slow after its start until this.
-    Cookie cookie;          ///< Of its instance.
-    bool ownsCookie = true; ///< Whether the cookie stands for this one.
-    bool isDoubted = false; ///< Missing only since it showed life when its removal came: its open
-                            ///< flows go on while it does, new ones go elsewhere.
-    bool isFaulty = false;  ///< What the platform has of it now cannot be used: open flows go on.
-    std::uint16_t life = 0; ///< Counts the starts of its instance that this host has seen.
-    bool isNear = false;    ///< In the own availability zone.
-    bool isPooled = false;  ///< Among `ServicePool::near` of its service.
+    MonoTime since;             ///< When the presence last changed.
+    MonoTime removalDue;        ///< When a missing upstream is to be removed.
+    MonoTime warmAt;            ///< Until when it is cold, that is, slow after its start.
+    Cookie cookie;              ///< Derived from its instance.
+    bool ownsCookie = true;     ///< Whether the cookie maps to this entry.
+    bool isDoubted = false;     ///< Removed by the platform, but shows signs of life: open flows
+                                ///< continue while it does, new flows go elsewhere.
+    bool isFaulty = false;      ///< The platform's entry is unusable; open flows continue.
+    std::uint16_t life = 0;     ///< Number of restarts of its instance that this host has seen.
+    bool isNear = false;        ///< In this host's availability zone.
+    bool isPooled = false;      ///< Listed in `ServicePool::near` of its service.
     bool isColdLimited = false; ///< Cold, and its service has a cold limit.
-    ColdAllowance allowance;    ///< This host's share of the cold limit, if one applies.
+    ColdAllowance allowance;    ///< This host's share of the cold limit, if any.
     UpstreamEvidence evidence;
 
-    /// Returns whether the cold limit, if one applies, leaves room for a request of this host.
+    /// Returns whether the cold limit, if one applies, allows this host another request.
     [[nodiscard]] auto hasColdRoom() const -> bool
     {
         return !this->isColdLimited || this->allowance.hasToken();
--- a/src/core/directory/upstreamevidence.h
+++ b/src/core/directory/upstreamevidence.h
@@ -1,4 +1,4 @@
-/// What callers' packets show of one upstream.
+/// Load and health of one upstream as observed from callers' packets.
 #pragma once
 
 #include "core/packets/lostrequests.h"
@@ -10,22 +10,23 @@
 
 namespace flamingograde {
 
-/// Load and signs of life of an upstream, as far as the packets that this host forwards show them.
+/// Load and signs of life of an upstream, derived from the packets that this host forwards.
 struct UpstreamEvidence
 {
-    std::uint32_t busy = 0;       ///< Requests and openings of this host's flows under way.
-    std::uint32_t unanswered = 0; ///< What it did not answer since the last sign of life.
-    LostRequests lost; ///< Of these, requests sent three times while others answered this host.
-    std::optional<MonoTime> silentSince; ///< Since when it gets no new flows but on trial.
-    MonoTime heard;                      ///< When it last showed life.
-    MonoTime nextTrial;                  ///< Of a silent one: not tried before this.
-    Duration trialPause { 0 };           ///< Of a silent one: the pause after the next trial.
+    std::uint32_t busy = 0;       ///< Pending requests and openings of this host's flows.
+    std::uint32_t unanswered = 0; ///< Requests and openings unanswered since the last sign of life.
+    LostRequests lost; ///< Of these: requests sent three times while other upstreams answered.
+    std::optional<MonoTime> silentSince; ///< Since when it receives new flows only as trials.
+    MonoTime heard;                      ///< Time of the last sign of life.
+    MonoTime nextTrial;                  ///< If silent: earliest time of the next trial.
+    Duration trialPause { 0 };           ///< If silent: pause after the next trial.
     Duration handshake { 0 };            ///< Mean time from an opening to the caller's next packet.
     Duration response { 0 }; ///< Mean time from a request to the caller's acknowledgement.
 
     [[nodiscard]] auto isSilent() const -> bool { return this->silentSince.has_value(); }
 
-    /// Ends every belief that it does not answer: something speaks against it. Precondition: none.
+    /// Clears all evidence that the upstream does not answer, after a sign that it does.
+    /// Precondition: none.
     auto forgetSilence() -> void
     {
         this->unanswered = 0;
--- a/src/core/directory/zoneevacuations.cpp
+++ b/src/core/directory/zoneevacuations.cpp
@@ -3,32 +3,32 @@
 
 namespace flamingograde {
 
-auto ZoneEvacuations::take(const DirectoryUpdate &update, const ZoneSet &zones, MonoTime now)
+auto ZoneEvacuations::apply(const DirectoryUpdate &update, const ZoneSet &zones, MonoTime now)
         -> std::vector<ZoneEvacuation>
 {
     std::vector<ZoneEvacuation> changed;
     for (const auto &order : update.evacuations) {
         const auto mayInsert =
                 this->orders.size() < unlistedZonesMax || zones.count(order.zone) != 0;
-        if (this->takeOne(order, mayInsert, now)) {
+        if (this->applyOrder(order, mayInsert, now)) {
             changed.push_back(order);
         }
     }
     if (update.isWhole()) {
-        this->takeAbsent(update, now, changed);
+        this->endAbsent(update, now, changed);
     }
     return changed;
 }
 
 /// @param mayInsert whether an order for a new zone is stored.
 /// @returns whether the order changed whether its zone is evacuated.
-auto ZoneEvacuations::takeOne(const ZoneEvacuation &order, bool mayInsert, MonoTime now) -> bool
+auto ZoneEvacuations::applyOrder(const ZoneEvacuation &order, bool mayInsert, MonoTime now) -> bool
 {
     const auto found = this->orders.find(order.zone);
     if (found == this->orders.end()) {
         if (mayInsert) {
-            this->orders.emplace(order.zone, Entry { order, now });
-            this->evacuatedZones += order.inForce ? 1 : 0;
+            this->orders.emplace(order.zone, StoredOrder { order, now });
+            this->evacuatedZoneCount += order.inForce ? 1 : 0;
         }
         return order.inForce && mayInsert;
     }
@@ -37,8 +37,8 @@
         return false;
     }
     const auto wasInForce = entry.order.inForce;
-    this->evacuatedZones += order.inForce ? 1 : 0;
-    this->evacuatedZones -= wasInForce ? 1 : 0;
+    this->evacuatedZoneCount += order.inForce ? 1 : 0;
+    this->evacuatedZoneCount -= wasInForce ? 1 : 0;
     entry.order = order;
     if (wasInForce == order.inForce) {
         return false;
@@ -48,8 +48,8 @@
 }
 
 /// Ends the evacuations that a whole update does not contain.
-auto ZoneEvacuations::takeAbsent(const DirectoryUpdate &update, MonoTime now,
-                                 std::vector<ZoneEvacuation> &changed) -> void
+auto ZoneEvacuations::endAbsent(const DirectoryUpdate &update, MonoTime now,
+                                std::vector<ZoneEvacuation> &changed) -> void
 {
     ZoneSet present;
     for (const auto &order : update.evacuations) {
@@ -62,7 +62,7 @@
         auto ended = entry.order;
         ended.at = update.upTo;
         ended.inForce = false;
-        if (this->takeOne(ended, true, now)) {
+        if (this->applyOrder(ended, true, now)) {
             changed.push_back(ended);
         }
     }
@@ -70,7 +70,7 @@
 
 auto ZoneEvacuations::isEvacuated(ZoneId zone) const -> bool
 {
-    if (this->evacuatedZones == 0) {
+    if (this->evacuatedZoneCount == 0) {
         return false;
     }
     const auto found = this->orders.find(zone);
--- a/src/core/directory/zoneevacuations.h
+++ b/src/core/directory/zoneevacuations.h
@@ -14,14 +14,14 @@
 
 namespace flamingograde {
 
-/// Keeps the newest order of each zone. Ended evacuations are kept so that their end reaches other
-/// hosts.
+/// Stores the newest order of each zone. Ended evacuations stay stored, so that other hosts learn
+/// that they ended.
 /// @remarks Not thread safe.
 class ZoneEvacuations
 {
 public:
     /// An order, with the time at which it changed the zone's state on this host.
-    struct Entry
+    struct StoredOrder
     {
         ZoneEvacuation order;
         MonoTime since;
@@ -34,10 +34,11 @@
     /// upstreams: this bounds the memory that invalid keys can use. Precondition: none.
     /// @param zones the zones of the directory's upstreams.
     /// @returns the orders that changed whether their zone is evacuated.
-    auto take(const DirectoryUpdate &update, const ZoneSet &zones, MonoTime now)
+    auto apply(const DirectoryUpdate &update, const ZoneSet &zones, MonoTime now)
             -> std::vector<ZoneEvacuation>;
 
-    /// Returns whether the upstreams of a zone get no new flows. Precondition: none.
+    /// Returns whether a zone is evacuated, so that its upstreams receive no new flows.
+    /// Precondition: none.
     [[nodiscard]] auto isEvacuated(ZoneId zone) const -> bool;
 
     /// Returns the orders newer than `after`; if it is invalid, all orders in force.
@@ -45,20 +46,20 @@
     [[nodiscard]] auto changedAfter(Revision after) const -> std::vector<ZoneEvacuation>;
 
     /// Returns every stored order, including ended ones.
-    [[nodiscard]] auto all() const -> const std::map<ZoneId, Entry> & { return this->orders; }
+    [[nodiscard]] auto all() const -> const std::map<ZoneId, StoredOrder> & { return this->orders; }
 
     /// Returns the number of evacuated zones.
-    [[nodiscard]] auto evacuatedCount() const -> std::size_t { return this->evacuatedZones; }
+    [[nodiscard]] auto evacuatedCount() const -> std::size_t { return this->evacuatedZoneCount; }
 
 private:
     static constexpr std::size_t unlistedZonesMax = 256;
 
-    auto takeOne(const ZoneEvacuation &order, bool mayInsert, MonoTime now) -> bool;
-    auto takeAbsent(const DirectoryUpdate &update, MonoTime now,
-                    std::vector<ZoneEvacuation> &changed) -> void;
+    auto applyOrder(const ZoneEvacuation &order, bool mayInsert, MonoTime now) -> bool;
+    auto endAbsent(const DirectoryUpdate &update, MonoTime now,
+                   std::vector<ZoneEvacuation> &changed) -> void;
 
-    std::map<ZoneId, Entry> orders;
-    std::size_t evacuatedZones = 0;
+    std::map<ZoneId, StoredOrder> orders;
+    std::size_t evacuatedZoneCount = 0;
 };
 
 } // namespace flamingograde
--- a/src/core/upstreams/upstreamcontroller.cpp
+++ b/src/core/upstreams/upstreamcontroller.cpp
@@ -1,4 +1,4 @@
-/// Learns from traffic and probes how upstreams are.
+/// Tracks the health of upstreams from traffic and probes.
 #include "core/upstreams/upstreamcontroller.h"
 
 #include "core/blackboard.h"
@@ -14,11 +14,11 @@
 
 namespace {
 
-constexpr auto serverError = 500;
+constexpr auto serverErrorMin = 500;
 constexpr auto shedDivisor = 2.0; ///< Divides the slot limit of an upstream that sheds.
 
-/// Returns the share of a cell's upstreams that would be ejected with one more.
-auto ejectedShareIfOneMore(const Blackboard &board, CellId cell) -> double
+/// Returns the share of a cell's upstreams that are ejected if one more is.
+auto ejectedShareWithOneMore(const Blackboard &board, CellId cell) -> double
 {
     const auto &indices = board.table().upstreamsOf(cell);
     auto ejected = 1.0;
@@ -56,12 +56,12 @@
     }
     auto &health = board.upstreams.health(id);
     ++health.failures;
-    const auto onTrial = health.ejections > 0 && health.rampSince.has_value();
-    const auto enough = onTrial ? std::size_t { 1 } : config::ejectFailures;
-    if (health.failures < enough || health.ejected) {
+    const auto isReadmitted = health.ejections > 0 && health.rampSince.has_value();
+    const auto failuresToEject = isReadmitted ? std::size_t { 1 } : config::ejectFailures;
+    if (health.failures < failuresToEject || health.ejected) {
         return;
     }
-    if (ejectedShareIfOneMore(board, upstream->cell()) <= config::ejectShareMax) {
+    if (ejectedShareWithOneMore(board, upstream->cell()) <= config::ejectShareMax) {
         eject(board, *upstream, health);
     }
 }
@@ -99,7 +99,7 @@
     board.log(LogEvent::UpstreamShed, "upstream=" + upstream->name);
 }
 
-/// Takes the head of a request's answer.
+/// Evaluates the head of a request's answer.
 auto noteHead(Blackboard &board, RunningRequest &request, const AnswerHead &head) -> void
 {
     request.unrun = saysUnrun(head);
@@ -107,7 +107,7 @@
         noteShed(board, request.upstream, head.retryAfter);
         return;
     }
-    const auto isFault = head.status >= serverError && !saysTooLate(head);
+    const auto isFault = head.status >= serverErrorMin && !saysTooLate(head);
     if (request.unrun || isFault) {
         request.failed = true;
         noteFailure(board, request.upstream);
@@ -141,20 +141,20 @@
     }
 }
 
-/// Feeds tell of an upstream by whether they open.
+/// Counts the opening of a feed as a success or a failure of its upstream.
 auto noteFeedProgress(Blackboard &board, const Feed &feed, const ExchangeProgress &event) -> void
 {
     if (event.progress == Progress::NotSent || event.progress == Progress::Lost) {
         noteFailure(board, feed.upstream);
     }
     if (event.progress == Progress::Answering && event.head.has_value() && !event.head->shed
-        && event.head->status < serverError) {
+        && event.head->status < serverErrorMin) {
         noteSuccess(board, feed.upstream);
     }
 }
 
-/// Blames the upstreams of requests whose deadline passed without an answer.
-auto blameTimeouts(Blackboard &board) -> void
+/// Counts a failure for the upstream of each request whose deadline passed without an answer.
+auto recordTimeouts(Blackboard &board) -> void
 {
     for (const auto id : board.exchanges.expired(board.now.mono)) {
         auto *request = board.cells.findRunning(id);
@@ -165,8 +165,8 @@
     }
 }
 
-/// Ends what time ends: ejections and ramps.
-auto endByTime(Blackboard &board, const Upstream &upstream, UpstreamHealth &health) -> void
+/// Ends an ejection or a ramp whose time has passed.
+auto endEjectionAndRamp(Blackboard &board, const Upstream &upstream, UpstreamHealth &health) -> void
 {
     if (health.ejected && health.ejectedUntil <= board.now.mono) {
         health.ejected = false;
@@ -178,8 +178,8 @@
     }
 }
 
-/// Probes the upstreams of the cells that this host is home of.
-auto probeDue(Blackboard &board) -> void
+/// Sends the probes that are due for upstreams of the cells that this host is home of.
+auto probeDueUpstreams(Blackboard &board) -> void
 {
     for (const auto &[cell, tenure] : board.tenure.all()) {
         for (const auto index : board.table().upstreamsOf(cell)) {
@@ -206,8 +206,10 @@
     }
 }
 
-/// Takes the table's word on one upstream. It is cold where it is new or was draining.
-auto followUpstream(Blackboard &board, const Upstream &upstream, bool first) -> void
+/// Updates the health of one upstream from the table. An upstream becomes cold if it is new, has a
+/// new address, or is active again after draining.
+/// @param first whether this is the first table, whose upstreams count as warm.
+auto syncUpstream(Blackboard &board, const Upstream &upstream, bool first) -> void
 {
     const auto known = board.upstreams.find(upstream.id) != nullptr;
     auto &health = board.upstreams.health(upstream.id);
@@ -229,8 +231,8 @@
 
 auto UpstreamController::handle(Blackboard &board, const Event &event) -> void
 {
-    this->followTable(board);
-    blameTimeouts(board);
+    this->syncWithTable(board);
+    recordTimeouts(board);
     std::visit(Overloaded {
                        [&](const ExchangeProgress &progress) { this->onProgress(board, progress); },
                        [&](const UpstreamReport &report) { this->onReport(board, report); },
@@ -240,7 +242,7 @@
                event);
 }
 
-auto UpstreamController::followTable(Blackboard &board) -> void
+auto UpstreamController::syncWithTable(Blackboard &board) -> void
 {
     const auto revision = board.config.revision;
     if (revision == board.upstreams.revision) {
@@ -250,7 +252,7 @@
     board.upstreams.revision = revision;
     std::unordered_set<UpstreamId> listed;
     for (const auto &upstream : board.table().upstreams()) {
-        followUpstream(board, upstream, first);
+        syncUpstream(board, upstream, first);
         listed.insert(upstream.id);
     }
     auto &all = board.upstreams.all();
@@ -284,9 +286,10 @@
         health.doubtedSince.reset();
         return;
     }
-    const auto succeeds = health.lastSuccess.has_value()
-                          && board.now.mono - *health.lastSuccess < 2 * config::upstreamProbePeriod;
-    if (!health.doubtedSince.has_value() && !succeeds) {
+    const auto succeededRecently =
+            health.lastSuccess.has_value()
+            && board.now.mono - *health.lastSuccess < 2 * config::upstreamProbePeriod;
+    if (!health.doubtedSince.has_value() && !succeededRecently) {
         health.doubtedSince = board.now.mono;
     }
 }
@@ -295,10 +298,10 @@
 {
     for (const auto &upstream : board.table().upstreams()) {
         auto &health = board.upstreams.health(upstream.id);
-        endByTime(board, upstream, health);
+        endEjectionAndRamp(board, upstream, health);
         logIfDrained(board, upstream, health);
     }
-    probeDue(board);
+    probeDueUpstreams(board);
 }
 
 } // namespace flamingograde
--- a/src/core/upstreams/upstreamcontroller.h
+++ b/src/core/upstreams/upstreamcontroller.h
@@ -1,4 +1,4 @@
-/// Learns from traffic and probes how upstreams are.
+/// Tracks the health of upstreams from traffic and probes.
 #pragma once
 
 #include <flamingograde/event.h>
@@ -8,17 +8,18 @@
 
 class Blackboard;
 
-/// Probes the upstreams of the cells that this host is home of, ejects those that fail, ramps up
-/// cold ones and slows down for those that shed. Traffic goes first; probes are hints.
+/// Probes the upstreams of the cells that this host is home of, ejects failing upstreams, ramps up
+/// cold ones and limits the requests to those that shed load. The results of traffic take
+/// precedence; probes are only hints.
 /// @remarks Not thread safe.
 class UpstreamController
 {
 public:
-    /// Takes an event before the slots of ended requests are freed.
+    /// Handles an event. To be called before the slots of ended requests are freed.
     auto handle(Blackboard &board, const Event &event) -> void;
 
 private:
-    auto followTable(Blackboard &board) -> void;
+    auto syncWithTable(Blackboard &board) -> void;
     auto onProgress(Blackboard &board, const ExchangeProgress &event) -> void;
     auto onReport(Blackboard &board, const UpstreamReport &report) -> void;
     auto onTick(Blackboard &board) -> void;
--- a/src/core/upstreams/upstreamhealth.h
+++ b/src/core/upstreams/upstreamhealth.h
@@ -1,4 +1,4 @@
-/// What is known of one upstream beside the table.
+/// State of one upstream that is not part of the table.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -10,24 +10,25 @@
 
 namespace flamingograde {
 
-/// What traffic showed and what its probes said. Times in the past stand for "not".
+/// Health of an upstream as observed from traffic and probes. A time in the past means that the
+/// state that it ends does not apply.
 struct UpstreamHealth
 {
-    Address address;                             ///< As the table had it.
-    UpstreamState state = UpstreamState::Active; ///< As the table had it.
-    std::uint32_t failures = 0;                  ///< In a row, of traffic.
-    std::uint32_t ejections = 0;                 ///< In a row; doubles the time out.
+    Address address;                             ///< From the latest table.
+    UpstreamState state = UpstreamState::Active; ///< From the latest table.
+    std::uint32_t failures = 0;                  ///< Consecutive failures of traffic.
+    std::uint32_t ejections = 0;                 ///< Consecutive ejections; each doubles the time.
     bool ejected = false;                        ///< Out of rotation until `ejectedUntil`.
     MonoTime ejectedUntil;
-    std::optional<MonoTime> rampSince;    ///< Cold since then; nothing: warm.
-    MonoTime pausedUntil;                 ///< It shed and asked for this pause.
-    std::optional<double> slotLimit;      ///< Slots left by shedding; nothing: all.
-    std::optional<MonoTime> lastSuccess;  ///< Of traffic.
-    std::optional<MonoTime> doubtedSince; ///< Probes say that it is not well.
-    bool saysDraining = false;            ///< Its health endpoint says so.
-    double load = -1;                     ///< Its load endpoint's word; negative: nothing.
+    std::optional<MonoTime> rampSince;    ///< Since when it is cold; empty if warm.
+    MonoTime pausedUntil;                 ///< End of the pause that it requested by shedding.
+    std::optional<double> slotLimit;      ///< Reduced slots after shedding; empty: all.
+    std::optional<MonoTime> lastSuccess;  ///< Last success of traffic.
+    std::optional<MonoTime> doubtedSince; ///< Since when its probes report a problem.
+    bool saysDraining = false;            ///< Its health endpoint reports draining.
+    double load = -1;                     ///< Reported by its load endpoint; negative: none.
     MonoTime nextProbe;
-    bool drainLogged = false; ///< `UpstreamDrained` was logged.
+    bool drainLogged = false; ///< `UpstreamDrained` has been logged.
 };
 
 } // namespace flamingograde
--- a/src/core/upstreams/upstreamstore.cpp
+++ b/src/core/upstreams/upstreamstore.cpp
@@ -1,4 +1,4 @@
-/// What is known of upstreams beside the table.
+/// State of upstreams that is not part of the table.
 #include "core/upstreams/upstreamstore.h"
 
 #include <flamingograde/config.h>
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Returns the slots of a cold upstream: one at first, all of them after `config::rampTime`.
+/// Returns the usable slots of an upstream. If it is cold, they grow linearly from one to all of
+/// them within `config::rampTime`.
 auto rampedSlots(const UpstreamHealth &health, std::uint32_t slots, MonoTime now) -> std::uint32_t
 {
     if (!health.rampSince.has_value()) {
@@ -21,8 +22,8 @@
     return 1 + static_cast<std::uint32_t>(more);
 }
 
-/// Returns whether probes speak against it and no traffic has succeeded since they began to.
-auto isDoubted(const UpstreamHealth &health) -> bool
+/// Returns whether probes report a problem and no traffic has succeeded since they started to.
+auto hasFailingProbes(const UpstreamHealth &health) -> bool
 {
     return health.doubtedSince.has_value()
            && (!health.lastSuccess.has_value() || *health.lastSuccess < *health.doubtedSince);
@@ -55,7 +56,7 @@
 auto UpstreamStore::isLastResort(UpstreamId upstream) const -> bool
 {
     const auto *health = this->find(upstream);
-    return health != nullptr && health->ejections > 0 && isDoubted(*health);
+    return health != nullptr && health->ejections > 0 && hasFailingProbes(*health);
 }
 
 auto UpstreamStore::effectiveSlots(const Upstream &upstream, MonoTime now) const -> std::uint32_t
@@ -71,7 +72,7 @@
     if (health->slotLimit.has_value()) {
         slots = std::min(slots, static_cast<std::uint32_t>(*health->slotLimit));
     }
-    return isDoubted(*health) ? 1 : std::max<std::uint32_t>(slots, 1);
+    return hasFailingProbes(*health) ? 1 : std::max<std::uint32_t>(slots, 1);
 }
 
 } // namespace flamingograde
--- a/src/core/upstreams/upstreamstore.h
+++ b/src/core/upstreams/upstreamstore.h
@@ -1,4 +1,4 @@
-/// What is known of upstreams beside the table.
+/// State of upstreams that is not part of the table.
 #pragma once
 
 #include "core/upstreams/upstreamhealth.h"
@@ -13,27 +13,27 @@
 
 namespace flamingograde {
 
-/// Ejections, ramps and hints by upstream.
+/// Ejections, ramps, limits and probe hints by upstream.
 /// @remarks Written by the upstream controller only. Not thread safe.
 class UpstreamStore
 {
 public:
-    /// Returns whether `upstream` may take new work: not ejected. The table's state is not looked
-    /// at.
+    /// Returns whether `upstream` is not ejected. Does not consider its state in the table.
     [[nodiscard]] auto isUsable(UpstreamId upstream, MonoTime now) const -> bool;
 
-    /// Returns how many requests `upstream` may run at once now: its slots, fewer while it is
-    /// cold, sheds or is doubted, none while it is ejected or paused.
+    /// Returns how many concurrent requests `upstream` may run now: its slots; fewer while it is
+    /// cold, has shed load or its probes fail; none while it is ejected or paused.
     [[nodiscard]] auto effectiveSlots(const Upstream &upstream, MonoTime now) const
             -> std::uint32_t;
 
-    /// Returns when `upstream` takes requests again; a time in the past where it does.
+    /// Returns when `upstream` accepts requests again; a time in the past if it does now.
     [[nodiscard]] auto opensAt(UpstreamId upstream) const -> MonoTime;
 
-    /// Returns whether traffic failed at `upstream` lately and its probes still speak against it.
+    /// Returns whether `upstream` was ejected, has not fully recovered since, and its probes
+    /// report a problem.
     [[nodiscard]] auto isLastResort(UpstreamId upstream) const -> bool;
 
-    /// Returns what is known of `upstream`, made where nothing was.
+    /// Returns the health of `upstream`; created if it does not exist.
     auto health(UpstreamId upstream) -> UpstreamHealth & { return this->byId[upstream]; }
     [[nodiscard]] auto find(UpstreamId upstream) const -> const UpstreamHealth *;
     [[nodiscard]] auto all() -> std::unordered_map<UpstreamId, UpstreamHealth> &
@@ -45,7 +45,7 @@
         return this->byId;
     }
 
-    Revision revision; ///< Of the table that `byId` follows.
+    Revision revision; ///< Revision of the table from which `byId` was last updated.
 
 private:
     std::unordered_map<UpstreamId, UpstreamHealth> byId;
--- a/tests/unit/directorycontrollertest.cpp
+++ b/tests/unit/directorycontrollertest.cpp
@@ -1,4 +1,4 @@
-/// When the directory is read, and what is believed of the answers.
+/// Tests of directory reads, of requests to other hosts and of when removals take effect.
 #include "packetboard.h"
 
 #include "core/directory/directorycontroller.h"
@@ -17,12 +17,12 @@
 
 namespace {
 
-/// A host that knows two upstreams at revision 10.
-class ReadingHost
+/// A host whose directory has two upstreams at revision 10.
+class DirectoryTestHost
 {
 public:
-    /// @param firstReadDone whether the first read has completed; otherwise it is under way.
-    explicit ReadingHost(bool firstReadDone = true) : board(settings())
+    /// @param firstReadDone whether the first read has completed; otherwise it is pending.
+    explicit DirectoryTestHost(bool firstReadDone = true) : board(settings())
     {
         this->board.now.mono += 100s;
         this->board.membership.self = this->board.init.self.id;
@@ -35,18 +35,19 @@
         whole.upTo = { 10 };
         whole.rows = bothRows(1);
         whole.present = { record(1, "live", "a", 2), record(2, "live", "a", 3) };
-        this->take(whole);
+        this->completeRead(whole);
     }
 
     auto tick() -> void { this->handle(Tick {}); }
 
-    auto take(const DirectoryUpdate &update) -> void
+    /// Completes a read with `update`.
+    auto completeRead(const DirectoryUpdate &update) -> void
     {
-        this->asked.reset();
+        this->lastRead.reset();
         this->handle(DirectoryRead { update, false });
     }
 
-    /// Fails the read that is under way.
+    /// Fails the pending read.
     auto failRead() -> void
     {
         this->handle(DirectoryReadFailed { DirectoryFailure::Unreachable, "no answer" });
@@ -60,33 +61,34 @@
         });
     }
 
-    /// Lets time pass in ticks until the host reads. @returns how long that took, or `most`.
-    auto untilRead(Duration most) -> Duration
+    /// Advances time by ticks until the host reads. @returns the time that passed;
+    /// `longest` if the host did not read before.
+    auto tickUntilRead(Duration longest) -> Duration
     {
         const auto begin = this->board.now.mono;
-        this->asked.reset();
-        while (!this->asked && this->board.now.mono - begin < most) {
+        this->lastRead.reset();
+        while (!this->lastRead && this->board.now.mono - begin < longest) {
             this->board.now.mono += config::tickPeriod;
             this->tick();
         }
         return this->board.now.mono - begin;
     }
 
-    auto pass(Duration duration) -> void { this->board.now.mono += duration; }
+    auto advanceTime(Duration duration) -> void { this->board.now.mono += duration; }
 
-    /// Removes upstream 2 at a revision. @returns its entry.
-    auto removeSecond(std::uint64_t at) -> const UpstreamEntry &
+    /// Completes a read that removes upstream 2 at revision `at`. @returns its entry.
+    auto removeUpstream2(std::uint64_t at) -> const UpstreamEntry &
     {
         DirectoryUpdate update;
         update.after = { 10 };
         update.upTo = { at };
         update.removed = { { InstanceId(2), { at } } };
-        this->take(update);
+        this->completeRead(update);
         return *this->board.directory.byCookie(Cookie::of(InstanceId(2)));
     }
 
     /// Adds a connected host. @returns its id.
-    auto meet(const std::string &name, const std::string &zone) -> HostId
+    auto addConnectedHost(const std::string &name, const std::string &zone) -> HostId
     {
         Member other;
         other.name = name;
@@ -96,16 +98,17 @@
         return record.member.id;
     }
 
-    /// Takes a message of a host that has a revision. @returns whether that host is asked for it.
-    auto isAskedAfter(HostId from, Revision has) -> bool
+    /// Receives gossip from a host that has revision `has`. @returns whether this host sends it a
+    /// directory request.
+    auto requestsAfterRevision(HostId from, Revision has) -> bool
     {
         Gossip gossip;
         gossip.directory = has;
-        return this->isAskedAfterGossip(from, gossip);
+        return this->requestsAfterGossip(from, gossip);
     }
 
-    /// The same, after any word of that host.
-    auto isAskedAfterGossip(HostId from, const Gossip &gossip) -> bool
+    /// Receives `gossip` from a host. @returns whether this host sends it a directory request.
+    auto requestsAfterGossip(HostId from, const Gossip &gossip) -> bool
     {
         this->handle(PeerMessage { from, Ping { 0, gossip } });
         return std::any_of(this->sent.begin(), this->sent.end(), [&](const SendPeer &it) {
@@ -113,14 +116,14 @@
         });
     }
 
-    /// Takes an update of another host.
-    auto hear(HostId from, const DirectoryUpdate &update) -> void
+    /// Receives a directory update from another host.
+    auto receiveUpdate(HostId from, const DirectoryUpdate &update) -> void
     {
         this->handle(PeerMessage { from, update });
     }
 
-    /// Returns the removal of upstream 2 at revision 11.
-    static auto removalOfSecond() -> DirectoryUpdate
+    /// Returns an update that removes upstream 2 at revision 11.
+    static auto removalOfUpstream2() -> DirectoryUpdate
     {
         DirectoryUpdate update;
         update.after = { 10 };
@@ -129,15 +132,15 @@
         return update;
     }
 
-    /// Returns upstream 2.
-    auto second() -> const UpstreamEntry &
+    /// Returns the entry of upstream 2.
+    auto upstream2() -> const UpstreamEntry &
     {
         return *this->board.directory.byCookie(Cookie::of(InstanceId(2)));
     }
 
     Blackboard board;
-    std::optional<ReadDirectory> asked; ///< The last read.
-    std::vector<SendPeer> sent;         ///< Messages of the last event.
+    std::optional<ReadDirectory> lastRead; ///< The last read that the host started.
+    std::vector<SendPeer> sent;            ///< Messages that the last event caused.
 
 private:
     static auto settings() -> Init
@@ -160,13 +163,13 @@
             if (const auto *message = std::get_if<SendPeer>(&action)) {
                 this->sent.push_back(*message);
             }
-            if (const auto *several = std::get_if<SendPeers>(&action)) {
-                for (const auto host : several->hosts) {
-                    this->sent.push_back({ host, several->message });
+            if (const auto *multicast = std::get_if<SendPeers>(&action)) {
+                for (const auto host : multicast->hosts) {
+                    this->sent.push_back({ host, multicast->message });
                 }
             }
             if (const auto *read = std::get_if<ReadDirectory>(&action)) {
-                this->asked = *read;
+                this->lastRead = *read;
             }
         }
     }
@@ -176,185 +179,185 @@
 
 } // namespace
 
-TEST_CASE("a removal is believed at once while the platform is heard", "[directory]")
+TEST_CASE("a removal takes effect at once while the platform answers", "[directory]")
 {
-    ReadingHost host;
-    host.pass(config::directoryWatchWait);
-    CHECK(host.removeSecond(11).presence == Presence::Removed);
+    DirectoryTestHost host;
+    host.advanceTime(config::directoryWatchWait);
+    CHECK(host.removeUpstream2(11).presence == Presence::Removed);
 }
 
-TEST_CASE("a removal is not believed at once after a failed read", "[directory]")
+TEST_CASE("a removal is deferred after a failed read", "[directory]")
 {
-    ReadingHost host;
-    host.untilRead(1s);
-    host.pass(config::directoryWatchWait + config::directoryReadMargin);
-    host.untilRead(2s);
+    DirectoryTestHost host;
+    host.tickUntilRead(1s);
+    host.advanceTime(config::directoryWatchWait + config::directoryReadMargin);
+    host.tickUntilRead(2s);
     REQUIRE(host.board.directoryReadsFail);
-    CHECK(host.removeSecond(11).presence == Presence::Missing);
+    CHECK(host.removeUpstream2(11).presence == Presence::Missing);
 }
 
-TEST_CASE(
-        "a removal is not believed at once by a host whose own reads never failed, if nobody heard "
-        "the platform for long",
-        "[directory]")
+TEST_CASE("a removal is deferred if no host heard the platform for directoryStale, even if this "
+          "host's "
+          "reads never failed",
+          "[directory]")
 {
-    ReadingHost host;
-    host.pass(config::directoryStale + 500ms);
+    DirectoryTestHost host;
+    host.advanceTime(config::directoryStale + 500ms);
     REQUIRE_FALSE(host.board.directoryReadsFail);
-    CHECK(host.removeSecond(11).presence == Presence::Missing);
+    CHECK(host.removeUpstream2(11).presence == Presence::Missing);
 }
 
-TEST_CASE("a starting host does not ask for the directory until its first read fails",
+TEST_CASE("a starting host does not request the directory until its first read fails",
           "[directory]")
 {
-    ReadingHost host(false);
+    DirectoryTestHost host(false);
     host.board.membership.startedAt = host.board.now.mono;
-    REQUIRE(host.asked);
-    const auto other = host.meet("other", "a");
-    CHECK_FALSE(host.isAskedAfter(other, { 12 }));
+    REQUIRE(host.lastRead);
+    const auto other = host.addConnectedHost("other", "a");
+    CHECK_FALSE(host.requestsAfterRevision(other, { 12 }));
     host.failRead();
-    CHECK(host.isAskedAfter(other, { 12 }));
+    CHECK(host.requestsAfterRevision(other, { 12 }));
 }
 
-TEST_CASE("a starting host whose first read is slow asks only its own zone for the directory",
+TEST_CASE("a starting host whose first read is slow requests the directory only within its zone",
           "[directory]")
 {
-    ReadingHost host(false);
+    DirectoryTestHost host(false);
     host.board.membership.startedAt = host.board.now.mono;
-    const auto other = host.meet("other", "a");
-    const auto far = host.meet("far", "b");
-    host.pass(config::directoryFirstReadWait - 1ms);
-    CHECK_FALSE(host.isAskedAfter(other, { 12 }));
-    host.pass(1ms);
-    CHECK_FALSE(host.isAskedAfter(far, { 12 }));
-    CHECK(host.isAskedAfter(other, { 12 }));
+    const auto other = host.addConnectedHost("other", "a");
+    const auto far = host.addConnectedHost("far", "b");
+    host.advanceTime(config::directoryFirstReadWait - 1ms);
+    CHECK_FALSE(host.requestsAfterRevision(other, { 12 }));
+    host.advanceTime(1ms);
+    CHECK_FALSE(host.requestsAfterRevision(far, { 12 }));
+    CHECK(host.requestsAfterRevision(other, { 12 }));
 }
 
 TEST_CASE("a change is not sent to a host that has not reported a revision", "[directory]")
 {
-    ReadingHost host;
-    const auto other = host.meet("other", "b");
-    host.removeSecond(11);
+    DirectoryTestHost host;
+    const auto other = host.addConnectedHost("other", "b");
+    host.removeUpstream2(11);
     CHECK(host.updatesSentTo(other) == 0);
-    host.isAskedAfter(other, { 11 });
-    host.removeSecond(12);
+    host.requestsAfterRevision(other, { 11 });
+    host.removeUpstream2(12);
     CHECK(host.updatesSentTo(other) == 1);
 }
 
-TEST_CASE("a lone change is followed by a watch at once, those of a rollout share one",
+TEST_CASE("the next read starts at once after a single change, and after a pause during a rollout",
           "[directory]")
 {
-    ReadingHost host;
-    host.untilRead(2s);
-    host.pass(1s);
-    host.removeSecond(11);
-    CHECK(host.untilRead(2s) == config::tickPeriod);
-    host.pass(100ms);
-    host.removeSecond(12);
-    CHECK(host.untilRead(2s) >= config::directoryGather);
+    DirectoryTestHost host;
+    host.tickUntilRead(2s);
+    host.advanceTime(1s);
+    host.removeUpstream2(11);
+    CHECK(host.tickUntilRead(2s) == config::tickPeriod);
+    host.advanceTime(100ms);
+    host.removeUpstream2(12);
+    CHECK(host.tickUntilRead(2s) >= config::directoryGather);
 }
 
-TEST_CASE("a host of a small fleet asks for newer changes at once", "[directory]")
+TEST_CASE("a host of a small fleet requests newer changes at once", "[directory]")
 {
-    ReadingHost host;
-    const auto far = host.meet("far", "b");
-    CHECK(host.isAskedAfter(far, { 11 }));
-    host.pass(config::directoryPeerTimeout - 1ms);
-    CHECK_FALSE(host.isAskedAfter(far, { 11 }));
-    host.pass(1ms);
-    CHECK(host.isAskedAfter(far, { 11 }));
+    DirectoryTestHost host;
+    const auto far = host.addConnectedHost("far", "b");
+    CHECK(host.requestsAfterRevision(far, { 11 }));
+    host.advanceTime(config::directoryPeerTimeout - 1ms);
+    CHECK_FALSE(host.requestsAfterRevision(far, { 11 }));
+    host.advanceTime(1ms);
+    CHECK(host.requestsAfterRevision(far, { 11 }));
 }
 
-TEST_CASE("a host of a large fleet asks for changes that its zone's reader did not send in time",
+TEST_CASE("a host of a large fleet requests changes that were not pushed to it in time",
           "[directory]")
 {
-    ReadingHost host;
-    const auto near = host.meet("near", "a");
-    const auto far = host.meet("far", "b");
+    DirectoryTestHost host;
+    const auto near = host.addConnectedHost("near", "a");
+    const auto far = host.addConnectedHost("far", "b");
     for (std::size_t i = 0; i < config::flatMembershipHosts; ++i) {
-        host.meet("other-" + std::to_string(i), "c");
+        host.addConnectedHost("other-" + std::to_string(i), "c");
     }
-    CHECK_FALSE(host.isAskedAfter(near, { 11 }));
-    host.pass(config::directoryAskZone - 1ms);
-    CHECK_FALSE(host.isAskedAfter(near, { 11 }));
-    CHECK_FALSE(host.isAskedAfter(far, { 11 }));
-    host.pass(1ms);
-    CHECK_FALSE(host.isAskedAfter(far, { 11 }));
-    CHECK(host.isAskedAfter(near, { 11 }));
-
-    host.removeSecond(12); // What was pushed ends the wait.
-    host.pass(config::directoryAskFar);
-    CHECK_FALSE(host.isAskedAfter(far, { 13 }));
-    host.pass(config::directoryAskFar - 1ms);
-    CHECK_FALSE(host.isAskedAfter(far, { 13 }));
-    host.pass(1ms);
-    CHECK(host.isAskedAfter(far, { 13 }));
+    CHECK_FALSE(host.requestsAfterRevision(near, { 11 }));
+    host.advanceTime(config::directoryAskZone - 1ms);
+    CHECK_FALSE(host.requestsAfterRevision(near, { 11 }));
+    CHECK_FALSE(host.requestsAfterRevision(far, { 11 }));
+    host.advanceTime(1ms);
+    CHECK_FALSE(host.requestsAfterRevision(far, { 11 }));
+    CHECK(host.requestsAfterRevision(near, { 11 }));
+
+    host.removeUpstream2(12); // Received changes reset the wait.
+    host.advanceTime(config::directoryAskFar);
+    CHECK_FALSE(host.requestsAfterRevision(far, { 13 }));
+    host.advanceTime(config::directoryAskFar - 1ms);
+    CHECK_FALSE(host.requestsAfterRevision(far, { 13 }));
+    host.advanceTime(1ms);
+    CHECK(host.requestsAfterRevision(far, { 13 }));
 }
 
-TEST_CASE("a host of a large fleet that has nothing asks at once", "[directory]")
+TEST_CASE("a host of a large fleet that has no directory requests it at once", "[directory]")
 {
-    ReadingHost host;
+    DirectoryTestHost host;
     for (std::size_t i = 0; i < config::flatMembershipHosts; ++i) {
-        host.meet("other-" + std::to_string(i), "c");
+        host.addConnectedHost("other-" + std::to_string(i), "c");
     }
     host.board.directory = Directory(host.board.init.self.zone);
-    CHECK(host.isAskedAfter(host.meet("far", "b"), { 11 }));
+    CHECK(host.requestsAfterRevision(host.addConnectedHost("far", "b"), { 11 }));
 }
 
-TEST_CASE("a host that was cut off does not believe removals of the first host it hears again",
-          "[directory]")
+TEST_CASE("after a partition, a removal received from another host is deferred", "[directory]")
 {
-    ReadingHost host;
-    const auto far = host.meet("far", "b");
-    host.pass(config::directoryStale + 1ms);
-    SECTION("by its list of changes") {}
-    SECTION("after its word on the platform")
+    DirectoryTestHost host;
+    const auto far = host.addConnectedHost("far", "b");
+    host.advanceTime(config::directoryStale + 1ms);
+    SECTION("if the first message is the update") {}
+    SECTION("if the first message is gossip")
     {
-        host.isAskedAfter(far, { 11 });
+        host.requestsAfterRevision(far, { 11 });
     }
-    host.hear(far, ReadingHost::removalOfSecond());
-    CHECK(host.second().presence == Presence::Missing);
+    host.receiveUpdate(far, DirectoryTestHost::removalOfUpstream2());
+    CHECK(host.upstream2().presence == Presence::Missing);
     CHECK(host.board.directory.poolOf(ServiceId::ofName("live")).near.size() == 2);
-    host.pass(config::reappearTime);
+    host.advanceTime(config::reappearTime);
     host.tick();
-    CHECK(host.second().presence == Presence::Removed);
+    CHECK(host.upstream2().presence == Presence::Removed);
 }
 
-TEST_CASE("a host in touch believes another one's word of a removal at once", "[directory]")
+TEST_CASE("a removal received from another host takes effect at once if there was no partition",
+          "[directory]")
 {
-    ReadingHost host;
-    const auto far = host.meet("far", "b");
-    host.pass(1s);
-    host.hear(far, ReadingHost::removalOfSecond());
-    CHECK(host.second().presence == Presence::Removed);
+    DirectoryTestHost host;
+    const auto far = host.addConnectedHost("far", "b");
+    host.advanceTime(1s);
+    host.receiveUpdate(far, DirectoryTestHost::removalOfUpstream2());
+    CHECK(host.upstream2().presence == Presence::Removed);
 }
 
-TEST_CASE("of a zone's hosts one with the widest link reads, unless its reads fail", "[directory]")
+TEST_CASE("the host of a zone with the widest link reads, unless its reads fail", "[directory]")
 {
-    // Enough hosts that some have a better draw than this one, whoever it is.
-    ReadingHost host;
+    // With this many hosts, some rank before this one by rendezvous hash.
+    DirectoryTestHost host;
     constexpr int others = 8;
     std::vector<HostId> hosts;
     for (int i = 0; i < others; ++i) {
-        hosts.push_back(host.meet("near-" + std::to_string(i), "a"));
+        hosts.push_back(host.addConnectedHost("near-" + std::to_string(i), "a"));
     }
-    const auto tell = [&](HostId id, std::uint32_t mbps, bool readsFail) {
+    const auto reportState = [&](HostId id, std::uint32_t mbps, bool readsFail) {
         host.board.membership.record(id)->member.linkMbps = mbps;
         Gossip gossip;
         gossip.readsFail = readsFail;
-        host.isAskedAfterGossip(id, gossip);
+        host.requestsAfterGossip(id, gossip);
     };
     const auto setOwnLink = [&](std::uint32_t mbps) {
         host.board.membership.record(host.board.membership.self)->member.linkMbps = mbps;
     };
     setOwnLink(200);
     for (const auto id : hosts) {
-        tell(id, 10, false);
+        reportState(id, 10, false);
     }
     CHECK(isDirectoryReader(host.board));
-    tell(hosts[3], 1000, false);
+    reportState(hosts[3], 1000, false);
     CHECK_FALSE(isDirectoryReader(host.board));
-    tell(hosts[3], 1000, true);
+    reportState(hosts[3], 1000, true);
     CHECK(isDirectoryReader(host.board));
     setOwnLink(5);
     CHECK_FALSE(isDirectoryReader(host.board));
--- a/tests/unit/directorytest.cpp
+++ b/tests/unit/directorytest.cpp
@@ -1,4 +1,4 @@
-/// The directory: updates in any order, removals, tombstones, cookies.
+/// Tests of the directory: updates in any order, removals, tombstones, evacuations and cookies.
 #include "packetboard.h"
 
 #include "core/directory/directory.h"
@@ -37,8 +37,8 @@
     return { ZoneId::ofName(zone), zone, { at }, inForce };
 }
 
-/// Returns what a directory holds, to compare it with another.
-auto listing(const Directory &directory) -> std::vector<std::string>
+/// Returns the present entries of a directory as sorted lines, for comparison.
+auto presentEntries(const Directory &directory) -> std::vector<std::string>
 {
     std::vector<std::string> lines;
     for (const auto &entry : directory.entries()) {
@@ -54,7 +54,8 @@
 
 } // namespace
 
-TEST_CASE("a whole update lists upstreams and says which are near", "[directory]")
+TEST_CASE("a whole update adds its upstreams to the near and far pools of their service",
+          "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     const auto changes = directory.take(
@@ -78,18 +79,18 @@
     CHECK(directory.revision().number == 9);
 }
 
-TEST_CASE("an update that leaves changes out is not taken", "[directory]")
+TEST_CASE("an update that skips changes cannot be applied", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, {}), start);
-    CHECK_FALSE(directory.canTake(delta(10, 12, {})));
-    CHECK(directory.canTake(delta(9, 12, {})));
-    CHECK(directory.canTake(delta(5, 12, {})));
-    CHECK(directory.canTake(whole(12, {})));
-    CHECK_FALSE(directory.canTake(DirectoryUpdate {}));
+    CHECK_FALSE(directory.canApply(delta(10, 12, {})));
+    CHECK(directory.canApply(delta(9, 12, {})));
+    CHECK(directory.canApply(delta(5, 12, {})));
+    CHECK(directory.canApply(whole(12, {})));
+    CHECK_FALSE(directory.canApply(DirectoryUpdate {}));
 }
 
-TEST_CASE("what a whole update lacks was removed", "[directory]")
+TEST_CASE("an upstream that is absent from a whole update is removed", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
@@ -102,7 +103,7 @@
     CHECK(gone->presence == Presence::Removed);
 }
 
-TEST_CASE("a draining upstream gets no new flows and is told once", "[directory]")
+TEST_CASE("a draining upstream gets no new flows and is reported as leaving once", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, { record(1, "live", "a", 3) }), start);
@@ -114,7 +115,8 @@
     CHECK(directory.take(delta(11, 13, { draining }), start).leaving.empty());
 }
 
-TEST_CASE("a removal after an outage is believed only when the upstream stays away", "[directory]")
+TEST_CASE("a deferred removal takes effect only if the upstream does not register again in time",
+          "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
@@ -126,8 +128,8 @@
     CHECK(changes.removed.empty());
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 2);
     directory.take(delta(12, 13, { record(1, "live", "a", 13) }), start + 1s);
-    CHECK(directory.settle(start + 1900ms).removed.empty());
-    const auto settled = directory.settle(start + 2s);
+    CHECK(directory.processRemovals(start + 1900ms).removed.empty());
+    const auto settled = directory.processRemovals(start + 2s);
     REQUIRE(settled.removed.size() == 1);
     CHECK(directory.at(settled.removed.front()).record.upstream.instance == InstanceId(2));
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 1);
@@ -222,29 +224,29 @@
     CHECK(directory.poolOf(ServiceId::ofName("live")).far.empty());
 }
 
-TEST_CASE("a tombstone is forgotten, and its place is used again", "[directory]")
+TEST_CASE("a tombstone is deleted after its time, and its slot is reused", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, { record(1, "live", "a", 3) }), start);
     directory.take(whole(12, {}), start);
-    directory.settle(start + config::tombstoneTime);
+    directory.processRemovals(start + config::tombstoneTime);
     CHECK(directory.byCookie(Cookie::of(InstanceId(1))) == nullptr);
     directory.take(delta(12, 14, { record(7, "live", "a", 13) }), start + 100s);
     CHECK(directory.entries().size() == 1);
-    // Whoever lacks the forgotten removal gets everything.
+    // A host whose revision is older than the deleted tombstone gets the whole directory.
     CHECK(directory.updateSince({ 10 }, start).isWhole());
     CHECK_FALSE(directory.updateSince({ 12 }, start).isWhole());
 }
 
-TEST_CASE("updates taken twice and in any order give one state", "[directory]")
+TEST_CASE("updates applied twice and in any order give the same state", "[directory]")
 {
-    // Each step changes one of six upstreams; an update holds a run of steps.
+    // Each step changes one of six upstreams; an update contains consecutive steps.
     constexpr std::uint64_t steps = 60;
     constexpr int rounds = 200;
     std::mt19937_64 random(7);
     std::vector<DirectoryUpdate> all;
-    Directory truth(ZoneId::ofName("a"));
-    truth.take(whole(1, {}), start);
+    Directory expected(ZoneId::ofName("a"));
+    expected.take(whole(1, {}), start);
     for (std::uint64_t step = 2; step <= steps; ++step) {
         auto update = delta(step - 1, step, {});
         const auto instance = 1 + random() % 6;
@@ -255,7 +257,7 @@
             update.present[0].upstream.state =
                     random() % 2 == 0 ? UpstreamState::Active : UpstreamState::Draining;
         }
-        truth.take(update, start);
+        expected.take(update, start);
         all.push_back(update);
     }
     for (int round = 0; round < rounds; ++round) {
@@ -273,20 +275,21 @@
                 source.take(all[i], start);
             }
             merged = source.updateSince(all[begin].after, start);
-            if (directory.canTake(merged)) {
+            if (directory.canApply(merged)) {
                 directory.take(merged, start);
                 directory.take(merged, start);
             }
             REQUIRE_FALSE(directory.revision() < last);
             last = directory.revision();
         }
-        REQUIRE(listing(directory) == listing(truth));
+        REQUIRE(presentEntries(directory) == presentEntries(expected));
     }
 }
 
-TEST_CASE("of two upstreams with one cookie the older keeps it on every host", "[directory]")
+TEST_CASE("of two upstreams with the same cookie, the older one owns it on every host",
+          "[directory]")
 {
-    // Both halves of the numbers fold to the same 32 bits.
+    // The halves of both numbers combine to the same 32 bits.
     const auto older = record(0x0000000100000002, "live", "a", 3);
     const auto younger = record(0x0000000200000001, "live", "a", 5);
     REQUIRE(Cookie::of(older.upstream.instance) == Cookie::of(younger.upstream.instance));
@@ -303,13 +306,13 @@
         CHECK(directory->poolOf(ServiceId::ofName("live")).near.size() == 1);
     }
     one.take(whole(9, { younger }), start);
-    one.settle(start + config::tombstoneTime);
+    one.processRemovals(start + config::tombstoneTime);
     one.touchPools();
     CHECK(one.byCookie(Cookie::of(younger.upstream.instance)) != nullptr);
     CHECK(one.poolOf(ServiceId::ofName("live")).near.size() == 1);
 }
 
-TEST_CASE("newer rows take the place of older ones, never the other way", "[directory]")
+TEST_CASE("newer rows replace older ones, and older rows never replace newer ones", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     auto first = whole(5, {});
@@ -324,12 +327,12 @@
     const auto *row = directory.rowAt(feedAddress);
     REQUIRE(row != nullptr);
     CHECK(row->row->shares[0].serviceName == "other");
-    // Flows that were opened at the service it had before stay where they are.
+    // The row keeps its former service: flows that were opened there stay there.
     CHECK(row->had.size() == 2);
     CHECK(directory.rowAt(papersAddress) == nullptr);
 }
 
-TEST_CASE("a second start of an instance begins with no evidence and cold", "[directory][born]")
+TEST_CASE("a restart of an instance clears its evidence and makes it cold", "[directory][born]")
 {
     Directory directory(ZoneId::ofName("a"));
     auto first = record(1, "live", "a", 3);
@@ -357,7 +360,7 @@
     const auto &pool = directory.poolOf(ServiceId::ofName("live"));
     CHECK(pool.near.size() == 1);
     CHECK(pool.nearBusy == 0);
-    // What the first life wrote arrives late, by itself and in a whole answer of another host.
+    // Late updates, one with the record of the first start and a whole one, cause no restart.
     CHECK(directory.take(delta(9, 12, { first }), start + 6s).restarted.empty());
     CHECK(directory.take(whole(13, { second, record(2, "live", "a", 12) }), start + 6s)
                   .restarted.empty());
@@ -365,7 +368,7 @@
     CHECK(entry.life == 1);
 }
 
-TEST_CASE("a start after the entry was removed is another life too", "[directory][born]")
+TEST_CASE("a start after the removal of the entry also counts as a restart", "[directory][born]")
 {
     Directory directory(ZoneId::ofName("a"));
     auto first = record(1, "live", "a", 3);
@@ -380,12 +383,12 @@
     const auto changes = directory.take(delta(10, 11, { second }), start + 2s);
     CHECK(changes.restarted.size() == 1);
     CHECK(changes.listed.size() == 1);
-    // The next life of an id may belong to another service.
+    // After a restart, an instance may belong to another service.
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.empty());
     CHECK(directory.poolOf(ServiceId::ofName("papers")).near.size() == 1);
 }
 
-TEST_CASE("an entry that says no start keeps its meaning", "[directory][born]")
+TEST_CASE("a record without a start time does not count as a restart", "[directory][born]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, { record(1, "live", "a", 3) }), start);
@@ -396,7 +399,7 @@
     CHECK(directory.at(0).evidence.heard == start);
 }
 
-TEST_CASE("a faulty entry closes its upstream to new flows until a good one takes its place",
+TEST_CASE("an upstream with a faulty entry gets no new flows until a valid entry replaces it",
           "[directory][faulty]")
 {
     Directory directory(ZoneId::ofName("a"));
@@ -405,44 +408,46 @@
     update.faulty = { { InstanceId(1), { 11 } }, { InstanceId(77), { 10 } } };
     CHECK(directory.take(update, start).faulty.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 1);
-    // Its open flows go on: nobody said that it is gone.
+    // Its open flows continue, since it was not removed.
     REQUIRE(directory.byCookie(Cookie::of(InstanceId(1))) != nullptr);
     CHECK(directory.byCookie(Cookie::of(InstanceId(1)))->presence == Presence::Listed);
-    // The same in a whole answer, which lacks the good record.
+    // The same fault in a whole update, which lacks the valid record.
     auto all = whole(12, { record(2, "live", "a", 4) });
     all.faulty = { { InstanceId(1), { 11 } } };
     const auto changes = directory.take(all, start);
     CHECK(changes.faulty.empty());
     CHECK(changes.removed.empty());
-    // A host that lacks both learns both.
+    // An update for a host without a directory contains both the record and its fault.
     Directory other(ZoneId::ofName("a"));
     other.take(directory.updateSince({}, start), start);
     CHECK(other.poolOf(ServiceId::ofName("live")).near.size() == 1);
     CHECK(other.byCookie(Cookie::of(InstanceId(1))) != nullptr);
-    // A late word of before the fault changes nothing; the next good one does.
+    // A late record from before the fault changes nothing; the next valid record does.
     directory.take(delta(9, 13, { record(1, "live", "a", 3) }), start);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 1);
     directory.take(delta(13, 14, { record(1, "live", "a", 14) }), start);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 2);
 }
 
-TEST_CASE("an entry that cannot be its upstream's own closes it too", "[directory][faulty]")
+TEST_CASE("a record with a conflicting name or service counts as a faulty entry",
+          "[directory][faulty]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
-    // In one life an upstream changes neither its service nor its name.
+    // Without a restart an upstream changes neither its service nor its name.
     CHECK(directory.take(delta(9, 11, { record(1, "nowhere", "a", 11) }), start).faulty.size()
           == 1);
-    auto twin = record(2, "live", "a", 12);
-    twin.upstream.name = "other-2";
-    CHECK(directory.take(delta(11, 12, { twin }), start).faulty.size() == 1);
+    auto conflicting = record(2, "live", "a", 12);
+    conflicting.upstream.name = "other-2";
+    CHECK(directory.take(delta(11, 12, { conflicting }), start).faulty.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.empty());
     CHECK(directory.byCookie(Cookie::of(InstanceId(1)))->record.upstream.serviceName == "live");
 }
 
-TEST_CASE(
-        "a removed upstream that answers keeps its open flows while it does, and gets no new ones",
-        "[directory]")
+TEST_CASE("a removed upstream that still answers keeps its open flows as long as it does, and gets "
+          "no "
+          "new flows",
+          "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
@@ -453,15 +458,16 @@
     CHECK(changes.missing.size() == 1);
     CHECK(changes.removed.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.empty());
-    // It answers for another three seconds.
+    // It answers for another 3 s.
     directory.at(0).evidence.heard = start + 3s;
-    CHECK(directory.settle(start + 100ms + config::reappearTime).removed.empty());
-    CHECK(directory.settle(start + 3s + config::livingFor - 1ms).removed.empty());
+    CHECK(directory.processRemovals(start + 100ms + config::reappearTime).removed.empty());
+    CHECK(directory.processRemovals(start + 3s + config::livingFor - 1ms).removed.empty());
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.empty());
-    CHECK(directory.settle(start + 3s + config::livingFor).removed.size() == 1);
+    CHECK(directory.processRemovals(start + 3s + config::livingFor).removed.size() == 1);
 }
 
-TEST_CASE("a removed upstream that answers is whole again when it registers", "[directory]")
+TEST_CASE("a removed upstream that still answers gets new flows again once it registers",
+          "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, { record(1, "live", "a", 3) }), start);
@@ -472,11 +478,10 @@
     REQUIRE(directory.poolOf(ServiceId::ofName("live")).near.empty());
     directory.take(delta(10, 11, { record(1, "live", "a", 11) }), start + 1s);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 1);
-    CHECK(directory.settle(start + 10s).removed.empty());
+    CHECK(directory.processRemovals(start + 10s).removed.empty());
 }
 
-TEST_CASE("an upstream that was leaving is gone when it is removed, however lately it answered",
-          "[directory]")
+TEST_CASE("a draining upstream is removed at once, even if it answered recently", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     auto leaving = record(1, "live", "a", 3);
--- a/tests/unit/upstreamtest.cpp
+++ b/tests/unit/upstreamtest.cpp
@@ -1,4 +1,4 @@
-/// Upstreams: what traffic shows goes before what probes say.
+/// Tests of upstream health: ejection, ramp-up, shedding, draining and probes.
 #include "cellhome.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A home with `count` upstreams of four slots.
+/// A home host with `count` upstreams of four slots each.
 struct UpstreamHome : CellHome
 {
     Row row;
@@ -23,7 +23,8 @@
         this->serveIn(10ms);
     }
 
-    auto load(int requests) -> void
+    /// Sends requests at intervals of 1 ms.
+    auto sendRequests(int requests) -> void
     {
         for (int i = 0; i < requests; ++i) {
             this->arrive(this->row);
@@ -36,15 +37,16 @@
         return this->board.upstreams.effectiveSlots(this->upstreams[index], this->board.now.mono);
     }
 
-    /// Has the dispatches to the first `bad` upstreams end by `progress`, or by a head of 421.
-    auto breakFirst(std::size_t bad, Progress progress) -> void
+    /// Makes dispatches to the first `failingCount` upstreams end with `progress`; with
+    /// `Progress::Answering`, by an answer of status 421.
+    auto failFirst(std::size_t failingCount, Progress progress) -> void
     {
-        this->onDispatch = [this, bad, progress](const Dispatch &dispatch) {
+        this->onDispatch = [this, failingCount, progress](const Dispatch &dispatch) {
             const auto id = dispatch.exchange;
-            const auto end = this->ids.begin() + static_cast<std::ptrdiff_t>(bad);
-            const auto isBad = std::find(this->ids.begin(), end, dispatch.upstream) != end;
-            this->after(10ms, [this, id, isBad, progress] {
-                if (!isBad) {
+            const auto end = this->ids.begin() + static_cast<std::ptrdiff_t>(failingCount);
+            const auto mustFail = std::find(this->ids.begin(), end, dispatch.upstream) != end;
+            this->after(10ms, [this, id, mustFail, progress] {
+                if (!mustFail) {
                     this->answer(id);
                 } else if (progress == Progress::Answering) {
                     this->head(id, 421);
@@ -58,16 +60,16 @@
 
 } // namespace
 
-TEST_CASE("failures of traffic eject an upstream, and it comes back step by step")
+TEST_CASE("an upstream with failing requests is ejected, and its slots return gradually")
 {
     UpstreamHome home(4);
-    home.breakFirst(1, GENERATE(Progress::NotSent, Progress::Lost, Progress::Answering));
-    home.load(100);
+    home.failFirst(1, GENERATE(Progress::NotSent, Progress::Lost, Progress::Answering));
+    home.sendRequests(100);
     REQUIRE(home.slotsOf(0) == 0);
     CHECK(!home.board.upstreams.isUsable(home.ids[0], home.board.now.mono));
     const auto before = home.dispatched[home.ids[0]];
     CHECK(before <= config::ejectFailures + 4);
-    home.load(100);
+    home.sendRequests(100);
     CHECK(home.dispatched[home.ids[0]] == before);
     home.serveIn(10ms);
     home.pass(config::ejectTime);
@@ -78,15 +80,15 @@
     CHECK(home.slotsOf(0) == 4);
 }
 
-TEST_CASE("an upstream that fails again on its return is ejected at once, for longer")
+TEST_CASE("an upstream that fails again after its ejection is ejected at once and for longer")
 {
     UpstreamHome home(4);
-    home.breakFirst(1, Progress::Lost);
-    home.load(100);
+    home.failFirst(1, Progress::Lost);
+    home.sendRequests(100);
     REQUIRE(home.slotsOf(0) == 0);
     home.pass(config::ejectTime);
     const auto before = home.dispatched[home.ids[0]];
-    home.load(200);
+    home.sendRequests(200);
     CHECK(home.dispatched[home.ids[0]] == before + 1);
     home.pass(config::ejectTime);
     CHECK(home.slotsOf(0) == 0);
@@ -94,11 +96,11 @@
     CHECK(home.slotsOf(0) == 1);
 }
 
-TEST_CASE("never more than half of a cell is ejected")
+TEST_CASE("at most half of the upstreams of a cell are ejected")
 {
     UpstreamHome home(4);
-    home.breakFirst(4, Progress::Lost);
-    home.load(300);
+    home.failFirst(4, Progress::Lost);
+    home.sendRequests(300);
     const auto usable = std::count_if(home.ids.begin(), home.ids.end(), [&](auto id) {
         return home.board.upstreams.isUsable(id, home.board.now.mono);
     });
@@ -106,7 +108,7 @@
     CHECK(home.board.stats.ejections == 2);
 }
 
-TEST_CASE("an upstream that answers nothing is blamed when deadlines pass")
+TEST_CASE("an upstream that never answers is ejected once request deadlines pass")
 {
     UpstreamHome home(2);
     home.row.deadline = 500ms;
@@ -117,11 +119,11 @@
             home.after(10ms, [&home, id = dispatch.exchange] { home.answer(id); });
         }
     };
-    home.load(2000);
+    home.sendRequests(2000);
     CHECK(home.slotsOf(0) == 0);
 }
 
-TEST_CASE("an upstream new in the table is ramped up; those of the first table are warm")
+TEST_CASE("a new upstream is ramped up, while those of the first table are warm")
 {
     UpstreamHome home(2);
     CHECK(home.slotsOf(0) == 4);
@@ -133,58 +135,58 @@
     CHECK(home.slotsOf(2) == 4);
 }
 
-TEST_CASE("misleading health is ignored while traffic succeeds")
+TEST_CASE("a failing health probe is ignored while traffic succeeds")
 {
     UpstreamHome home(2);
-    const UpstreamReport lie { home.ids[0], false, false, false, 1.0 };
-    home.load(20);
-    home.run(lie);
+    const UpstreamReport failingProbe { home.ids[0], false, false, false, 1.0 };
+    home.sendRequests(20);
+    home.run(failingProbe);
     CHECK(home.slotsOf(0) == 4);
     home.pass(5s);
-    home.run(lie); // Nothing has contradicted it for a while.
+    home.run(failingProbe); // No traffic has succeeded recently to contradict the probe.
     CHECK(home.slotsOf(0) == 1);
-    home.load(20);
+    home.sendRequests(20);
     CHECK(home.slotsOf(0) == 4);
     const auto before = home.dispatched[home.ids[0]];
-    home.load(100);
+    home.sendRequests(100);
     home.pass(1s);
     CHECK(home.dispatched[home.ids[0]] - before == Approx(50).margin(2));
 }
 
-TEST_CASE("an upstream that sheds is paused and gets fewer requests at once")
+TEST_CASE("an upstream that sheds load is paused and then gets fewer concurrent requests")
 {
     UpstreamHome home(2);
     home.onDispatch = nullptr;
     const auto first = home.arrive(home.row);
     home.head(first, 503, true, 2s);
-    const auto shedder = home.sent.at(first).upstream == home.ids[0] ? 0U : 1U;
-    CHECK(home.slotsOf(shedder) == 0);
+    const auto sheddingIndex = home.sent.at(first).upstream == home.ids[0] ? 0U : 1U;
+    CHECK(home.slotsOf(sheddingIndex) == 0);
     home.pass(2s);
-    CHECK(home.slotsOf(shedder) == 2);
+    CHECK(home.slotsOf(sheddingIndex) == 2);
     home.serveIn(10ms);
-    home.load(20);
-    CHECK(home.slotsOf(shedder) == 2); // A few successes do not undo it.
-    home.load(300);
-    CHECK(home.slotsOf(shedder) == 4);
+    home.sendRequests(20);
+    CHECK(home.slotsOf(sheddingIndex) == 2); // A few successes do not lift the limit.
+    home.sendRequests(300);
+    CHECK(home.slotsOf(sheddingIndex) == 4);
 }
 
-TEST_CASE("while all upstreams are paused only what can wait for them is queued")
+TEST_CASE("while all upstreams are paused, only requests whose deadline allows the wait are queued")
 {
     UpstreamHome home(1);
     home.onDispatch = nullptr;
     const auto first = home.arrive(home.row);
     home.head(first, 503, true, 3s);
     CHECK(home.refused.count(home.arrive(home.row)) == 0);
-    auto hasty = home.row;
-    hasty.deadline = 2s;
-    home.rows[0] = hasty;
+    auto shortDeadline = home.row;
+    shortDeadline.deadline = 2s;
+    home.rows[0] = shortDeadline;
     home.publish();
-    const auto refused = home.arrive(hasty);
+    const auto refused = home.arrive(shortDeadline);
     REQUIRE(home.isRefused(refused, RefusalReason::DeadlineUnmet, Verdict::NotRun));
     CHECK(home.refused.at(refused).retryAfter == 1s);
 }
 
-TEST_CASE("a draining upstream gets nothing new and finishes what it has")
+TEST_CASE("a draining upstream gets no new requests and finishes its running ones")
 {
     UpstreamHome home(2);
     home.onDispatch = nullptr;
@@ -203,7 +205,7 @@
     CHECK(home.board.stats.answered == 1);
 }
 
-TEST_CASE("the home probes each upstream once a period")
+TEST_CASE("the home host probes each upstream once per probe period until its tenure ends")
 {
     UpstreamHome home(3);
     home.probes.clear();
