--- a/src/core/membership/deathevidence.cpp
+++ b/src/core/membership/deathevidence.cpp
@@ -1,7 +1,7 @@
-/// When a host that does not answer may be taken for dead.
+/// When a host that does not answer may be declared dead.
 ///
-/// Where a host is wrongly taken for dead, two hosts are home of its cells. It gives them up itself
-/// within `config::pauseThreshold` when it is cut off or paused, so nobody may take them earlier.
+/// If a host is wrongly declared dead, its cells have two homes. A host that is isolated or paused
+/// gives up its cells within `config::pauseThreshold`, so no other host may take them over earlier.
 #include "core/membership/deathevidence.h"
 
 #include "core/blackboard.h"
@@ -15,22 +15,23 @@
 
 using namespace std::chrono_literals;
 
-/// Two hosts that are left judge by refused connections once all others are dead for this long.
-constexpr Duration lastOtherAfter = 10s;
+/// When only two hosts are left, refused connections alone are evidence of death once all other
+/// hosts have been dead for this long.
+constexpr Duration onlyOtherHostDelay = 10s;
 
-/// A host that answers knows after this that the one that asked is alive.
+/// After this long, a host that answers probes knows that the host that sends them is alive.
 constexpr Duration refutationGrace = 500ms;
 
-/// Returns whether all hosts beside this one and that of `record` are dead, and not just now: a cut
-/// that comes in steps shall not look like this.
-auto isLastOther(const Blackboard &board, const MemberRecord &record) -> bool
+/// Returns whether all hosts other than the local one and that of `record` have been dead for
+/// `onlyOtherHostDelay`. The delay excludes network partitions that cut off hosts in several steps.
+auto isOnlyOtherHost(const Blackboard &board, const MemberRecord &record) -> bool
 {
     const auto &records = board.membership.records();
     return std::all_of(records.begin(), records.end(), [&](const auto &entry) {
         const auto &[id, other] = entry;
         return id == board.membership.self || id == record.member.id
                || (other.member.state == MemberState::Dead
-                   && board.now.mono - other.changed >= lastOtherAfter);
+                   && board.now.mono - other.changed >= onlyOtherHostDelay);
     });
 }
 
@@ -40,34 +41,37 @@
 {
     const auto &membership = board.membership;
     const auto refused = record.refusals >= config::refusalsOfDead;
-    if (refused && isLastOther(board, record)) {
+    if (refused && isOnlyOtherHost(board, record)) {
         return true;
     }
     const auto unlisted = !record.listed && membership.listedAt > record.unansweredSince;
     if (unlisted && record.everListed && membership.connectedCount() == 0) {
         return true;
     }
-    if (!record.confirmed || board.now.mono - membership.isolatedAt < config::refusedTimeout) {
+    if (!record.failureConfirmed
+        || board.now.mono - membership.lastIsolatedAt < config::refusedTimeout) {
         return false;
     }
-    const auto neighbour = isInOwnZone(board, record);
-    return !neighbour || refused || knowsUs(board, record) || (unlisted && membership.listedSelf);
+    const auto inOwnZone = isInOwnZone(board, record);
+    return !inOwnZone || refused || knowsLocalHost(board, record)
+           || (unlisted && membership.listedSelf);
 }
 
 auto isSilentLongEnough(const Blackboard &board, const MemberRecord &record) -> bool
 {
     const auto now = board.now.mono;
-    const auto silence = now - std::max({ record.heard, record.vouched, record.unansweredSince });
+    const auto silence =
+            now - std::max({ record.heard, record.lastReportedAliveAt, record.unansweredSince });
     if (record.refusals >= config::refusalsOfDead) {
         return silence >= config::refusedTimeout;
     }
     return now - record.changed >= config::suspicionTimeout && silence >= config::suspicionTimeout;
 }
 
-auto mayBeDead(const Blackboard &board, HostId from, const MemberRecord &record) -> bool
+auto acceptsDeathReport(const Blackboard &board, HostId from, const MemberRecord &record) -> bool
 {
     const auto now = board.now.mono;
-    const auto since = std::max(record.heard, board.membership.isolatedAt);
+    const auto since = std::max(record.heard, board.membership.lastIsolatedAt);
     if (now - since < config::refusedTimeout) {
         return false;
     }
@@ -78,23 +82,25 @@
         return false;
     }
     const auto *sender = board.membership.find(from);
-    const auto isNeighbour = sender != nullptr && sender->zone == board.init.self.zone;
-    return isNeighbour || record.refusals >= config::refusalsOfDead || knowsUs(board, record);
+    const auto isSenderInOwnZone = sender != nullptr && sender->zone == board.init.self.zone;
+    return isSenderInOwnZone || record.refusals >= config::refusalsOfDead
+           || knowsLocalHost(board, record);
 }
 
-auto knowsUs(const Blackboard &board, const MemberRecord &record) -> bool
+auto knowsLocalHost(const Blackboard &board, const MemberRecord &record) -> bool
 {
     const auto &membership = board.membership;
-    return record.acked > std::max(membership.isolatedAt, membership.pausedAt) + refutationGrace;
+    return record.lastAckedProbeAt
+           > std::max(membership.lastIsolatedAt, membership.resumedAt) + refutationGrace;
 }
 
-auto isHeardInZone(const Blackboard &board) -> bool
+auto isAnsweredByWholeZone(const Blackboard &board) -> bool
 {
     const auto &records = board.membership.records();
     return std::all_of(records.begin(), records.end(), [&](const auto &entry) {
         const auto &record = entry.second;
         return entry.first == board.membership.self || !isInOwnZone(board, record)
-               || board.now.mono - record.acked < config::pauseThreshold;
+               || board.now.mono - record.lastAckedProbeAt < config::pauseThreshold;
     });
 }
 
--- a/src/core/membership/dialer.cpp
+++ b/src/core/membership/dialer.cpp
@@ -1,4 +1,4 @@
-/// When to dial.
+/// Timing of dials and backoff.
 #include "core/membership/dialer.h"
 
 #include "core/blackboard.h"
@@ -12,11 +12,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration redialMin = 100ms;        ///< First pause after a failed dial.
-constexpr Duration redialMax = 2s;           ///< Longest pause after failed dials.
-constexpr Duration redialMaxOwnZone = 500ms; ///< The same within a zone.
-constexpr Duration dialTimeout = 2500ms;     ///< A dial without any answer is tried again.
-constexpr Duration dialCourtesy = 300ms; ///< The host with the higher id lets the other dial first.
+constexpr Duration minBackoff = 100ms;        ///< Backoff after the first failed dial.
+constexpr Duration maxBackoffOtherZone = 2s;  ///< Longest backoff towards hosts of other zones.
+constexpr Duration maxBackoffOwnZone = 500ms; ///< Longest backoff within the zone.
+constexpr Duration dialTimeout = 2500ms;      ///< A dial without any result is repeated after this.
+
+/// How long the host with the higher id delays its first dial, so that the other one dials first.
+constexpr Duration higherIdDialDelay = 300ms;
 
 } // namespace
 
@@ -29,7 +31,7 @@
             continue;
         }
         const auto isFirst = record->backoff == 0ms;
-        if (isFirst && host < board.membership.self && now - record->changed < dialCourtesy) {
+        if (isFirst && host < board.membership.self && now - record->changed < higherIdDialDelay) {
             continue;
         }
         record->nextDial = now + dialTimeout;
@@ -55,11 +57,11 @@
     record->connected = false;
     board.membership.touch();
     record->refusals += down.loss == PeerLoss::Refused ? 1 : 0;
-    const auto most = isInOwnZone(board, *record) ? redialMaxOwnZone : redialMax;
-    record->backoff = std::clamp<Duration>(record->backoff * 2, redialMin, most);
-    std::uniform_int_distribution<Duration::rep> draw(record->backoff.count() / 2,
-                                                      record->backoff.count());
-    record->nextDial = board.now.mono + Duration(draw(board.random));
+    const auto maxBackoff = isInOwnZone(board, *record) ? maxBackoffOwnZone : maxBackoffOtherZone;
+    record->backoff = std::clamp<Duration>(record->backoff * 2, minBackoff, maxBackoff);
+    std::uniform_int_distribution<Duration::rep> distribution(record->backoff.count() / 2,
+                                                              record->backoff.count());
+    record->nextDial = board.now.mono + Duration(distribution(board.random));
 }
 
 } // namespace flamingograde
--- a/src/core/membership/dialer.h
+++ b/src/core/membership/dialer.h
@@ -1,4 +1,4 @@
-/// Keeps connections with other hosts.
+/// Opens connections to other hosts.
 #pragma once
 
 #include <flamingograde/event.h>
@@ -10,16 +10,16 @@
 
 class Blackboard;
 
-/// Dials the hosts that this one should be connected with, and backs off where that fails.
+/// Dials the hosts that the local host should be connected with, with backoff after failures.
 /// @remarks Not thread safe.
 class Dialer
 {
 public:
-    /// Dials those of `wanted` that are due. Precondition: to be called on each `Tick`.
+    /// Dials those of `wanted` that are due. Precondition: called on each `Tick`.
     auto tick(Blackboard &board, const std::vector<HostId> &wanted) -> void;
-    /// Takes a new connection. The member is known.
+    /// Records a new connection. Precondition: `host` is a known member.
     auto connected(Blackboard &board, HostId host) -> void;
-    /// Takes the loss of a connection or a failed dial.
+    /// Records a lost connection or a failed dial, and sets the time of the next dial.
     auto lost(Blackboard &board, const PeerDown &down) -> void;
 };
 
--- a/src/core/membership/failuredetector.cpp
+++ b/src/core/membership/failuredetector.cpp
@@ -1,4 +1,4 @@
-/// Probes, indirect probes, suspicion and death.
+/// Probes, indirect probes, suspicion and declaration of death.
 #include "core/membership/failuredetector.h"
 
 #include "core/blackboard.h"
@@ -18,45 +18,54 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration probeKept = 2s;         ///< A late answer to a probe counts for this long.
-constexpr Duration indirectPeriod = 400ms; ///< Others are asked this often about a silent host.
-constexpr Duration contactPeriod = 300ms;  ///< Without an answer this long, more hosts are probed.
-constexpr std::size_t contactProbes = 3;   ///< Hosts probed then beside those of the own zone.
+/// How long the late answer to a probe is still accepted.
+constexpr Duration probeRetention = 2s;
 
-/// Returns whether `host` can be asked to probe `record`'s host, and would be connected with it.
-auto isHelper(const Blackboard &board, const MemberRecord &helper, const MemberRecord &record)
-        -> bool
+/// Period of indirect probes of a silent host, and the time after which it is suspected.
+constexpr Duration indirectProbePeriod = 400ms;
+
+/// If no host has answered for this long, additional hosts are probed.
+constexpr Duration contactTimeout = 300ms;
+
+/// Hosts of other zones that are probed then, in addition to those of the local zone.
+constexpr std::size_t otherZoneContactProbes = 3;
+
+/// Returns whether `prober` can be asked to probe the host of `record`: it is connected with the
+/// local host and should be connected with that one.
+auto canProbeIndirectly(const Blackboard &board, const MemberRecord &prober,
+                        const MemberRecord &record) -> bool
 {
-    if (!helper.connected || helper.member.id == record.member.id
-        || helper.member.state > MemberState::Leaving) {
+    if (!prober.connected || prober.member.id == record.member.id
+        || prober.member.state > MemberState::Leaving) {
         return false;
     }
-    const auto flat = board.membership.records().size() <= config::flatMembershipHosts;
-    return flat || helper.member.zone == record.member.zone;
+    const auto isSmallFleet = board.membership.records().size() <= config::flatMembershipHosts;
+    return isSmallFleet || prober.member.zone == record.member.zone;
 }
 
-/// Returns up to `config::indirectProbes` helpers, drawn at random, of different zones first.
-auto drawHelpers(Blackboard &board, const MemberRecord &record) -> std::vector<HostId>
+/// Returns up to `config::indirectProbes` hosts that can probe the host of `record`, chosen at
+/// random, hosts of different zones first.
+auto chooseIndirectProbers(Blackboard &board, const MemberRecord &record) -> std::vector<HostId>
 {
-    std::vector<const MemberRecord *> able;
-    for (const auto &[id, helper] : board.membership.records()) {
-        if (isHelper(board, helper, record)) {
-            able.push_back(&helper);
+    std::vector<const MemberRecord *> eligible;
+    for (const auto &[id, prober] : board.membership.records()) {
+        if (canProbeIndirectly(board, prober, record)) {
+            eligible.push_back(&prober);
         }
     }
-    std::shuffle(able.begin(), able.end(), board.random);
+    std::shuffle(eligible.begin(), eligible.end(), board.random);
     std::set<ZoneId> zones;
-    std::stable_partition(able.begin(), able.end(), [&](const auto *helper) {
-        return zones.insert(helper->member.zone).second;
+    std::stable_partition(eligible.begin(), eligible.end(), [&](const auto *prober) {
+        return zones.insert(prober->member.zone).second;
     });
-    std::vector<HostId> helpers;
-    for (const auto *helper : able) {
-        if (helpers.size() == config::indirectProbes) {
+    std::vector<HostId> probers;
+    for (const auto *prober : eligible) {
+        if (probers.size() == config::indirectProbes) {
             break;
         }
-        helpers.push_back(helper->member.id);
+        probers.push_back(prober->member.id);
     }
-    return helpers;
+    return probers;
 }
 
 } // namespace
@@ -65,26 +74,26 @@
 {
     this->expireProbes(board);
     if (board.membership.isIsolated(board.now.mono)) {
-        this->noteIsolation(board);
+        this->recordIsolation(board);
     }
     if (board.now.mono >= this->nextProbe) {
         this->nextProbe = board.now.mono + config::probePeriod;
         this->probeNext(board, mesh);
-        this->introduce(board);
+        this->probeUnawareHosts(board);
     }
-    this->keepContact(board);
+    this->probeAfterLostContact(board);
     for (auto &[id, record] : board.membership.records()) {
-        if (record.probeSoon) {
-            record.probeSoon = false;
+        if (record.probeRequested) {
+            record.probeRequested = false;
             this->probe(board, id, std::nullopt);
         }
         if (record.unanswered && record.member.state != MemberState::Dead) {
-            this->judge(board, record);
+            this->updateState(board, record);
         }
     }
 }
 
-auto FailureDetector::acked(Blackboard &board, const Ack &ack) -> void
+auto FailureDetector::onAck(Blackboard &board, const Ack &ack) -> void
 {
     const auto found = this->probes.find(ack.sequence);
     if (found == this->probes.end()) {
@@ -92,9 +101,10 @@
     }
     const auto probe = found->second;
     this->probes.erase(found);
-    board.membership.contactAt = std::max(board.membership.contactAt, probe.sentAt);
+    board.membership.lastAnsweredProbeAt =
+            std::max(board.membership.lastAnsweredProbeAt, probe.sentAt);
     if (auto *record = board.membership.record(probe.target)) {
-        record->acked = std::max(record->acked, probe.sentAt);
+        record->lastAckedProbeAt = std::max(record->lastAckedProbeAt, probe.sentAt);
     }
     if (probe.requester && !probe.expired) {
         sendPeer(board, probe.requester->host,
@@ -102,7 +112,8 @@
     }
 }
 
-auto FailureDetector::requested(Blackboard &board, HostId from, const PingRequest &request) -> void
+auto FailureDetector::onPingRequest(Blackboard &board, HostId from, const PingRequest &request)
+        -> void
 {
     const auto *record = board.membership.record(request.target);
     if (record == nullptr) {
@@ -117,52 +128,52 @@
     }
 }
 
-auto FailureDetector::reported(Blackboard &board, const PingReport &report) -> void
+auto FailureDetector::onPingReport(Blackboard &board, const PingReport &report) -> void
 {
     auto *record = board.membership.record(report.target);
     if (record == nullptr) {
         return;
     }
     if (!report.alive) {
-        record->confirmed = record->unanswered;
+        record->failureConfirmed = record->unanswered;
         return;
     }
-    record->vouched = board.now.mono;
-    record->confirmed = false;
+    record->lastReportedAliveAt = board.now.mono;
+    record->failureConfirmed = false;
     if (record->member.state < MemberState::Suspect) {
         record->unanswered = false;
     }
 }
 
-auto FailureDetector::unreachable(Blackboard &board, HostId host) -> void
+auto FailureDetector::markUnanswered(Blackboard &board, HostId host) -> void
 {
     auto *record = board.membership.record(host);
     if (record == nullptr || record->unanswered) {
         return;
     }
     record->unanswered = true;
-    record->confirmed = false;
+    record->failureConfirmed = false;
     record->unansweredSince = board.now.mono;
-    record->nextIndirect = board.now.mono;
+    record->nextIndirectProbe = board.now.mono;
 }
 
 auto FailureDetector::reset(Blackboard &board) -> void
 {
     this->probes.clear();
-    this->nextContact = board.now.mono;
+    this->nextContactProbes = board.now.mono;
     for (auto &[id, record] : board.membership.records()) {
         record.unanswered = false;
-        record.confirmed = false;
+        record.failureConfirmed = false;
         record.heard = board.now.mono;
         record.refusals = 0;
     }
 }
 
-auto FailureDetector::noteIsolation(Blackboard &board) -> void
+auto FailureDetector::recordIsolation(Blackboard &board) -> void
 {
-    board.membership.isolatedAt = board.now.mono;
+    board.membership.lastIsolatedAt = board.now.mono;
     for (auto &[id, record] : board.membership.records()) {
-        record.confirmed = false;
+        record.failureConfirmed = false;
     }
 }
 
@@ -172,17 +183,17 @@
         return record.member.id != board.membership.self && mesh.wants(record.member.id)
                && (record.member.state != MemberState::Dead || record.connected);
     };
-    if (this->ring.empty()) {
+    if (this->roundTargets.empty()) {
         for (const auto &[id, record] : board.membership.records()) {
             if (isProbed(record)) {
-                this->ring.push_back(id);
+                this->roundTargets.push_back(id);
             }
         }
-        std::shuffle(this->ring.begin(), this->ring.end(), board.random);
+        std::shuffle(this->roundTargets.begin(), this->roundTargets.end(), board.random);
     }
-    while (!this->ring.empty()) {
-        const auto target = this->ring.back();
-        this->ring.pop_back();
+    while (!this->roundTargets.empty()) {
+        const auto target = this->roundTargets.back();
+        this->roundTargets.pop_back();
         const auto *record = board.membership.record(target);
         if (record != nullptr && isProbed(*record)) {
             this->probe(board, target, std::nullopt);
@@ -191,29 +202,30 @@
     }
 }
 
-auto FailureDetector::introduce(Blackboard &board) -> void
+auto FailureDetector::probeUnawareHosts(Blackboard &board) -> void
 {
     for (const auto &[id, record] : board.membership.records()) {
         if (record.connected && isInOwnZone(board, record)
-            && record.member.state != MemberState::Dead && !knowsUs(board, record)) {
+            && record.member.state != MemberState::Dead && !knowsLocalHost(board, record)) {
             this->probe(board, id, std::nullopt);
         }
     }
 }
 
-auto FailureDetector::keepContact(Blackboard &board) -> void
+auto FailureDetector::probeAfterLostContact(Blackboard &board) -> void
 {
     const auto now = board.now.mono;
-    if (now - board.membership.contactAt < contactPeriod || now < this->nextContact) {
+    if (now - board.membership.lastAnsweredProbeAt < contactTimeout
+        || now < this->nextContactProbes) {
         return;
     }
-    this->nextContact = now + config::probePeriod;
-    std::size_t others = 0;
+    this->nextContactProbes = now + config::probePeriod;
+    std::size_t otherZoneHosts = 0;
     for (const auto &[id, record] : board.membership.records()) {
         if (!record.connected || record.member.state > MemberState::Leaving) {
             continue;
         }
-        if (isInOwnZone(board, record) || others++ < contactProbes) {
+        if (isInOwnZone(board, record) || otherZoneHosts++ < otherZoneContactProbes) {
             this->probe(board, id, std::nullopt);
         }
     }
@@ -227,10 +239,11 @@
     auto gossip = makeGossip(board, target);
     auto &records = board.membership.records();
     if (gossip.updates.size() < config::updatesPerMessage && !requester) {
-        this->rotation = (this->rotation + 1) % records.size();
+        this->extraMemberIndex = (this->extraMemberIndex + 1) % records.size();
         const auto &record =
-                std::next(records.begin(), static_cast<std::ptrdiff_t>(this->rotation))->second;
-        if (isTold(board, record)) {
+                std::next(records.begin(), static_cast<std::ptrdiff_t>(this->extraMemberIndex))
+                        ->second;
+        if (shouldGossip(board, record)) {
             gossip.updates.push_back(record.member);
         }
     }
@@ -246,33 +259,33 @@
             probe.expired = true;
             const auto *record = board.membership.record(probe.target);
             if (record != nullptr && record->heard < probe.sentAt) {
-                this->unreachable(board, probe.target);
+                this->markUnanswered(board, probe.target);
             }
             if (probe.requester) {
                 sendPeer(board, probe.requester->host,
                          PingReport { probe.requester->sequence, probe.target, false });
             }
         }
-        it = now - probe.sentAt >= probeKept ? this->probes.erase(it) : std::next(it);
+        it = now - probe.sentAt >= probeRetention ? this->probes.erase(it) : std::next(it);
     }
 }
 
-auto FailureDetector::askOthers(Blackboard &board, const MemberRecord &record) -> void
+auto FailureDetector::requestIndirectProbes(Blackboard &board, const MemberRecord &record) -> void
 {
-    for (const auto helper : drawHelpers(board, record)) {
-        sendPeer(board, helper, PingRequest { ++this->lastSequence, record.member.id });
+    for (const auto prober : chooseIndirectProbers(board, record)) {
+        sendPeer(board, prober, PingRequest { ++this->lastSequence, record.member.id });
     }
 }
 
-auto FailureDetector::judge(Blackboard &board, MemberRecord &record) -> void
+auto FailureDetector::updateState(Blackboard &board, MemberRecord &record) -> void
 {
     const auto now = board.now.mono;
-    if (now >= record.nextIndirect) {
-        record.nextIndirect = now + indirectPeriod;
-        this->askOthers(board, record);
+    if (now >= record.nextIndirectProbe) {
+        record.nextIndirectProbe = now + indirectProbePeriod;
+        this->requestIndirectProbes(board, record);
     }
     if (record.member.state < MemberState::Suspect) {
-        if (now - record.unansweredSince >= indirectPeriod) {
+        if (now - record.unansweredSince >= indirectProbePeriod) {
             changeMember(board, record, MemberState::Suspect);
         }
         return;
--- a/src/core/membership/forgetting.cpp
+++ b/src/core/membership/forgetting.cpp
@@ -1,4 +1,4 @@
-/// Drops records of hosts that ended.
+/// Removes the records of hosts that have ended.
 #include "core/membership/forgetting.h"
 
 #include "core/blackboard.h"
@@ -12,13 +12,14 @@
 
 using namespace std::chrono_literals;
 
-/// A dead host that is not listed is forgotten after this: old word of it goes round no longer.
-constexpr Duration forgetAfter = 60s;
+/// The record of a dead host that is not listed is removed after this; by then no gossip about its
+/// earlier states is in circulation that would add it again.
+constexpr Duration deadRecordRetention = 60s;
 
-auto isGone(const Blackboard &board, const MemberRecord &record) -> bool
+auto isExpired(const Blackboard &board, const MemberRecord &record) -> bool
 {
     return record.member.state == MemberState::Dead && !record.listed && !record.connected
-           && board.now.mono - record.changed > forgetAfter;
+           && board.now.mono - record.changed > deadRecordRetention;
 }
 
 } // namespace
@@ -32,13 +33,13 @@
 
 auto forgetGone(Blackboard &board) -> void
 {
-    std::vector<HostId> gone;
+    std::vector<HostId> expired;
     for (const auto &[id, record] : board.membership.records()) {
-        if (isGone(board, record)) {
-            gone.push_back(id);
+        if (isExpired(board, record)) {
+            expired.push_back(id);
         }
     }
-    for (const auto host : gone) {
+    for (const auto host : expired) {
         forgetMember(board, host);
     }
 }
--- a/src/core/membership/forgetting.h
+++ b/src/core/membership/forgetting.h
@@ -1,4 +1,4 @@
-/// When a member's record is dropped.
+/// Removal of member records.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -7,10 +7,12 @@
 
 class Blackboard;
 
-/// Drops a member's record and the connection with it. Precondition: it is not this host.
+/// Removes a member's record and drops the connection with it.
+/// Precondition: `host` is not the local host.
 auto forgetMember(Blackboard &board, HostId host) -> void;
 
-/// Forgets hosts that are long dead and that the platform does not name. Precondition: none.
+/// Removes the records of hosts that have been dead for long and that the platform does not list.
+/// Precondition: none.
 auto forgetGone(Blackboard &board) -> void;
 
 } // namespace flamingograde
--- a/src/core/membership/gossip.cpp
+++ b/src/core/membership/gossip.cpp
@@ -1,4 +1,4 @@
-/// Chooses what messages to other hosts carry beside their purpose.
+/// Selects the gossip that is piggybacked on messages to other hosts.
 #include "core/membership/gossip.h"
 
 #include "core/blackboard.h"
@@ -12,24 +12,24 @@
 
 namespace {
 
-/// A dead host that the platform no longer lists is told of for this long.
-constexpr Duration deadToldFor = std::chrono::seconds(30);
+/// How long a dead host that the platform no longer lists is still gossiped.
+constexpr Duration deadGossipPeriod = std::chrono::seconds(30);
 
-/// Stands for "the platform was never heard" on the wire.
+/// Wire value for "the platform was never heard".
 constexpr auto unknownAge = std::numeric_limits<std::uint32_t>::max();
 
-/// Hosts told at once of an urgent change.
-constexpr std::size_t pushedTo = 8;
+/// Number of hosts that are sent an urgent change at once.
+constexpr std::size_t pushFanout = 8;
 
-/// Returns the age of the platform's last word in the unit of the wire.
+/// Returns the time since the platform was last heard in milliseconds, as sent on the wire.
 auto platformAgeMs(const Blackboard &board) -> std::uint32_t
 {
     const auto ms = milliseconds(board.config.platformAge(board.now.mono));
     return ms > static_cast<std::int64_t>(unknownAge) ? unknownAge : static_cast<std::uint32_t>(ms);
 }
 
-/// Returns the part of the gossip to `host` that does not concern members.
-auto makeBase(Blackboard &board, HostId host) -> Gossip
+/// Returns gossip to `host` without any member updates.
+auto makeGossipWithoutMembers(Blackboard &board, HostId host) -> Gossip
 {
     Gossip gossip;
     gossip.loads = board.cells.ownLoads();
@@ -45,30 +45,33 @@
     return gossip;
 }
 
-/// Returns the members with changes still to be told, those told least often first.
-auto freshest(MembershipState &membership) -> std::vector<MemberRecord *>
+/// Returns the members with changes still to be gossiped, those with the most sends left first; at
+/// most `config::updatesPerMessage`.
+auto selectChanges(MembershipState &membership) -> std::vector<MemberRecord *>
 {
-    std::vector<MemberRecord *> fresh;
+    std::vector<MemberRecord *> changedRecords;
     for (auto &[id, record] : membership.records()) {
-        if (record.tellings > 0) {
-            fresh.push_back(&record);
+        if (record.remainingGossipSends > 0) {
+            changedRecords.push_back(&record);
         }
     }
-    std::stable_sort(fresh.begin(), fresh.end(),
-                     [](const auto *a, const auto *b) { return a->tellings > b->tellings; });
-    if (fresh.size() > config::updatesPerMessage) {
-        fresh.resize(config::updatesPerMessage);
+    std::stable_sort(changedRecords.begin(), changedRecords.end(),
+                     [](const auto *a, const auto *b) {
+                         return a->remainingGossipSends > b->remainingGossipSends;
+                     });
+    if (changedRecords.size() > config::updatesPerMessage) {
+        changedRecords.resize(config::updatesPerMessage);
     }
-    return fresh;
+    return changedRecords;
 }
 
-/// Returns gossip of all members for which `isWanted` holds and that are still told of.
+/// Returns gossip to `host` with all members that satisfy `isWanted` and are still to be gossiped.
 template<typename Predicate>
-auto gossipOfMembers(Blackboard &board, HostId host, Predicate isWanted) -> Gossip
+auto makeMemberGossip(Blackboard &board, HostId host, Predicate isWanted) -> Gossip
 {
-    auto gossip = makeBase(board, host);
+    auto gossip = makeGossipWithoutMembers(board, host);
     for (const auto &[id, record] : board.membership.records()) {
-        if (isWanted(record.member) && isTold(board, record)) {
+        if (isWanted(record.member) && shouldGossip(board, record)) {
             gossip.updates.push_back(record.member);
         }
     }
@@ -77,12 +80,12 @@
 
 } // namespace
 
-auto isTold(const Blackboard &board, const MemberRecord &record) -> bool
+auto shouldGossip(const Blackboard &board, const MemberRecord &record) -> bool
 {
     if (record.member.state != MemberState::Dead || record.listed) {
         return true;
     }
-    return board.now.mono - record.changed < deadToldFor;
+    return board.now.mono - record.changed < deadGossipPeriod;
 }
 
 auto sendPeer(Blackboard &board, HostId host, Message message) -> bool
@@ -97,8 +100,8 @@
 
 auto sendPeers(Blackboard &board, std::vector<HostId> hosts, Message message) -> void
 {
-    const auto isDown = [&](HostId host) { return !board.membership.isConnected(host); };
-    hosts.erase(std::remove_if(hosts.begin(), hosts.end(), isDown), hosts.end());
+    const auto isDisconnected = [&](HostId host) { return !board.membership.isConnected(host); };
+    hosts.erase(std::remove_if(hosts.begin(), hosts.end(), isDisconnected), hosts.end());
     if (hosts.empty()) {
         return;
     }
@@ -108,15 +111,15 @@
 
 auto makeGossip(Blackboard &board, HostId host) -> Gossip
 {
-    auto gossip = makeBase(board, host);
-    for (auto *record : freshest(board.membership)) {
-        --record->tellings;
+    auto gossip = makeGossipWithoutMembers(board, host);
+    for (auto *record : selectChanges(board.membership)) {
+        --record->remainingGossipSends;
         gossip.updates.push_back(record->member);
     }
     const auto *receiver = board.membership.find(host);
-    const auto isListed = [host](const Member &member) { return member.id == host; };
+    const auto isReceiver = [host](const Member &member) { return member.id == host; };
     if (receiver != nullptr && receiver->state != MemberState::Alive
-        && std::none_of(gossip.updates.begin(), gossip.updates.end(), isListed)) {
+        && std::none_of(gossip.updates.begin(), gossip.updates.end(), isReceiver)) {
         gossip.updates.push_back(*receiver);
     }
     return gossip;
@@ -124,7 +127,7 @@
 
 auto makeFullGossip(Blackboard &board, HostId host) -> Gossip
 {
-    return gossipOfMembers(board, host, [](const Member &) { return true; });
+    return makeMemberGossip(board, host, [](const Member &) { return true; });
 }
 
 auto sendZoneView(Blackboard &board, HostId host) -> void
@@ -132,7 +135,7 @@
     const auto isOwnZone = [zone = board.init.self.zone](const Member &member) {
         return member.zone == zone;
     };
-    sendPeer(board, host, Ping { 0, gossipOfMembers(board, host, isOwnZone) });
+    sendPeer(board, host, Ping { 0, makeMemberGossip(board, host, isOwnZone) });
 }
 
 auto pushGossip(Blackboard &board) -> void
@@ -144,8 +147,8 @@
         }
     }
     std::shuffle(hosts.begin(), hosts.end(), board.random);
-    if (hosts.size() > pushedTo) {
-        hosts.resize(pushedTo);
+    if (hosts.size() > pushFanout) {
+        hosts.resize(pushFanout);
     }
     for (const auto host : hosts) {
         sendPeer(board, host, Ping { 0, makeGossip(board, host) });
--- a/src/core/membership/listexchange.cpp
+++ b/src/core/membership/listexchange.cpp
@@ -1,4 +1,4 @@
-/// Compares views by their digests.
+/// Compares the views of hosts by their digests.
 #include "core/membership/listexchange.h"
 
 #include "core/blackboard.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr double memberBytes = 72; ///< Of a member in a message, with names of 13 letters.
+constexpr double bytesPerMember = 72; ///< Encoded size of a member with names of 13 letters.
 
 } // namespace
 
@@ -24,35 +24,36 @@
     const auto now = board.now.mono;
     if (gossip.members == board.membership.digest()) {
         record.isNew = false;
-        record.differsSince.reset();
+        record.viewDiffersSince.reset();
         return;
     }
-    if (!record.differsSince) {
-        record.differsSince = now;
+    if (!record.viewDiffersSince) {
+        record.viewDiffersSince = now;
     }
-    if (!record.isNew && now - *record.differsSince < config::viewsDiffer) {
+    if (!record.isNew && now - *record.viewDiffersSince < config::viewsDiffer) {
         return;
     }
-    if (this->takeAllowance(board)) {
+    if (this->consumeAllowance(board)) {
         sendPeer(board, from, Ping { 0, makeFullGossip(board, from) });
     } else if (record.isNew && isInOwnZone(board, record)) {
-        sendZoneView(board, from); // Hosts of a zone decide together who is home of a cell.
+        // The hosts of a zone decide together who is home of a cell, so they need the same view.
+        sendZoneView(board, from);
     } else {
         return;
     }
     record.isNew = false;
-    record.differsSince = now;
+    record.viewDiffersSince = now;
 }
 
-auto ListExchange::takeAllowance(const Blackboard &board) -> bool
+auto ListExchange::consumeAllowance(const Blackboard &board) -> bool
 {
-    const std::chrono::duration<double> passed = board.now.mono - this->refilled;
-    this->refilled = board.now.mono;
-    const auto most = static_cast<double>(config::listBytesAtOnce);
-    const auto added = passed.count() * static_cast<double>(config::listBytesPerSecond);
-    this->allowance = std::min(most, this->allowance + added);
-    const auto bytes = memberBytes * static_cast<double>(board.membership.records().size());
-    if (this->allowance < std::min(bytes, most)) {
+    const std::chrono::duration<double> elapsed = board.now.mono - this->refilledAt;
+    this->refilledAt = board.now.mono;
+    const auto capacity = static_cast<double>(config::listBytesAtOnce);
+    const auto added = elapsed.count() * static_cast<double>(config::listBytesPerSecond);
+    this->allowance = std::min(capacity, this->allowance + added);
+    const auto bytes = bytesPerMember * static_cast<double>(board.membership.records().size());
+    if (this->allowance < std::min(bytes, capacity)) {
         return false;
     }
     this->allowance -= bytes;
--- a/src/core/membership/membermerge.cpp
+++ b/src/core/membership/membermerge.cpp
@@ -1,4 +1,4 @@
-/// The precedence of what is said of members.
+/// Precedence of reports about members, and refutation of reports about the local host.
 #include "core/membership/membermerge.h"
 
 #include "core/blackboard.h"
@@ -13,13 +13,14 @@
 
 namespace {
 
-/// Each change is told this often, times the logarithm of the fleet's size.
-constexpr std::uint32_t tellingsFactor = 3;
+/// A change is sent this many times, multiplied by the binary logarithm of the fleet's size.
+constexpr std::uint32_t gossipSendFactor = 3;
 
 auto markChanged(Blackboard &board, MemberRecord &record) -> void
 {
     const auto hosts = static_cast<double>(board.membership.records().size());
-    record.tellings = tellingsFactor * static_cast<std::uint32_t>(std::ceil(std::log2(hosts + 1)));
+    record.remainingGossipSends =
+            gossipSendFactor * static_cast<std::uint32_t>(std::ceil(std::log2(hosts + 1)));
     record.changed = board.now.mono;
     board.membership.touch();
 }
@@ -42,8 +43,8 @@
     board.log(event, "host=" + member.name + " incarnation=" + std::to_string(member.incarnation));
 }
 
-/// Sets whether the member announced a stop; a suspicion says nothing about it.
-auto noteLeaving(MemberRecord &record) -> void
+/// Updates whether the member announced a stop. A suspicion or death leaves that unchanged.
+auto updateLeaving(MemberRecord &record) -> void
 {
     if (record.member.state == MemberState::Alive) {
         record.leaving = false;
@@ -52,15 +53,15 @@
     }
 }
 
-/// Answers what others say of this host.
+/// Refutes a report about the local host by raising its incarnation, if the report is newer.
 auto refute(Blackboard &board, MemberRecord &self, const Member &update) -> void
 {
-    const auto own = self.member.incarnation;
-    if (update.incarnation < own
-        || (update.incarnation == own && update.state <= self.member.state)) {
+    const auto ownIncarnation = self.member.incarnation;
+    if (update.incarnation < ownIncarnation
+        || (update.incarnation == ownIncarnation && update.state <= self.member.state)) {
         return;
     }
-    if (update.state == MemberState::Dead && !isHeardInZone(board)) {
+    if (update.state == MemberState::Dead && !isAnsweredByWholeZone(board)) {
         ++board.membership.deaths;
     }
     board.log(LogEvent::MemberRefuted, "incarnation=" + std::to_string(update.incarnation));
@@ -70,12 +71,12 @@
 
 } // namespace
 
-auto isNewer(const Member &said, const Member &known) -> bool
+auto isNewer(const Member &reported, const Member &known) -> bool
 {
-    if (said.incarnation != known.incarnation) {
-        return said.incarnation > known.incarnation;
+    if (reported.incarnation != known.incarnation) {
+        return reported.incarnation > known.incarnation;
     }
-    return said.state > known.state;
+    return reported.state > known.state;
 }
 
 auto insertMember(Blackboard &board, Member member) -> std::pair<MemberRecord &, bool>
@@ -87,7 +88,7 @@
     if (added) {
         record.member = std::move(member);
         record.heard = board.now.mono;
-        noteLeaving(record);
+        updateLeaving(record);
         board.membership.touch();
     }
     return { record, added };
@@ -106,45 +107,46 @@
     return record;
 }
 
-auto mergeMember(Blackboard &board, HostId from, const Member &said) -> void
+auto mergeMember(Blackboard &board, HostId from, const Member &reported) -> void
 {
-    auto *record = board.membership.record(said.id);
+    auto *record = board.membership.record(reported.id);
     if (record == nullptr) {
-        auto &added = addMember(board, said);
-        if (isInOwnZone(board, added) && said.state == MemberState::Dead) {
+        auto &added = addMember(board, reported);
+        if (isInOwnZone(board, added) && reported.state == MemberState::Dead) {
             changeMember(board, added, MemberState::Suspect);
         }
         return;
     }
-    if (said.id == board.membership.self) {
-        refute(board, *record, said);
+    if (reported.id == board.membership.self) {
+        refute(board, *record, reported);
         return;
     }
-    auto update = said;
-    if (said.state == MemberState::Dead && from != said.id && !mayBeDead(board, from, *record)) {
-        record->confirmed = record->confirmed || record->unanswered;
+    auto update = reported;
+    if (reported.state == MemberState::Dead && from != reported.id
+        && !acceptsDeathReport(board, from, *record)) {
+        record->failureConfirmed = record->failureConfirmed || record->unanswered;
         update.state = MemberState::Suspect;
     }
     if (!isNewer(update, record->member)) {
         return;
     }
-    const auto before = record->member.state;
+    const auto previousState = record->member.state;
     record->member = update;
-    noteLeaving(*record);
+    updateLeaving(*record);
     markChanged(board, *record);
-    if (before != update.state) {
+    if (previousState != update.state) {
         logState(board, update);
     }
     if (update.state >= MemberState::Suspect) {
-        record->probeSoon = true;
+        record->probeRequested = true;
         sendPeer(board, update.id, Ping { 0, makeGossip(board, update.id) });
     }
     if (update.state >= MemberState::Suspect) {
         return;
     }
     record->unanswered = false;
-    record->confirmed = false;
-    if (before >= MemberState::Suspect) {
+    record->failureConfirmed = false;
+    if (previousState >= MemberState::Suspect) {
         pushGossip(board);
     }
 }
@@ -152,7 +154,7 @@
 auto changeMember(Blackboard &board, MemberRecord &record, MemberState state) -> void
 {
     record.member.state = state;
-    noteLeaving(record);
+    updateLeaving(record);
     markChanged(board, record);
     logState(board, record.member);
     pushGossip(board);
--- a/src/core/membership/membermerge.h
+++ b/src/core/membership/membermerge.h
@@ -1,4 +1,4 @@
-/// How what is heard of a member changes what is known of it.
+/// Merges reports about members into the local view.
 #pragma once
 
 #include "core/membership/memberrecord.h"
@@ -12,31 +12,32 @@
 
 class Blackboard;
 
-/// Returns whether what is said of a member goes before what is known: a higher incarnation first,
-/// then the order of `MemberState`. @remarks Thread safe.
-[[nodiscard]] auto isNewer(const Member &said, const Member &known) -> bool;
+/// Returns whether a report about a member supersedes the known state: the higher incarnation wins,
+/// then the later `MemberState` in the order of its declaration. @remarks Thread safe.
+[[nodiscard]] auto isNewer(const Member &reported, const Member &known) -> bool;
 
-/// Adds a member if it is new, and tells nobody of it.
+/// Adds a member if it is unknown, without gossiping it.
 /// @returns its record, and whether it was added.
 auto insertMember(Blackboard &board, Member member) -> std::pair<MemberRecord &, bool>;
 
-/// Adds a member that a seed or the platform names, if it is new.
-/// @returns its record; `MemberRecord::member` is left as it is where it was known.
+/// Adds a member if it is unknown, and gossips it.
+/// @returns its record; `MemberRecord::member` is unchanged if the member was known.
 auto addMember(Blackboard &board, Member member) -> MemberRecord &;
 
-/// Takes what `from` says of a member, where it is newer: a higher incarnation goes first, then the
-/// order of `MemberState`. What concerns this host itself is refuted.
+/// Merges a report by `from` about a member if it is newer (see `isNewer`). Newer reports about
+/// the local host are refuted.
 ///
-/// That a member is dead is taken from others only where this host does not hear it either. Of a
-/// host of the own zone, it must have failed to answer this host for `config::refusedTimeout`, and
-/// either the sender is of the zone too, or the dead one has an ended process or knew of this
-/// host: otherwise it may go on as the only home of the zone.
-auto mergeMember(Blackboard &board, HostId from, const Member &update) -> void;
-
-/// Changes a member's state at its present incarnation, and has it told to others.
+/// A report that a member is dead is accepted only if the local host does not hear it either. A
+/// member of the local zone must in addition have failed to answer the local host for
+/// `config::refusedTimeout`, and either the sender is of the zone too, or the member refuses
+/// connections because its process ended, or it knew of the local host: otherwise it may still be
+/// running as the only home of the zone's cells.
+auto mergeMember(Blackboard &board, HostId from, const Member &reported) -> void;
+
+/// Changes a member's state at its current incarnation, and gossips the change.
 auto changeMember(Blackboard &board, MemberRecord &record, MemberState state) -> void;
 
-/// Raises this host's incarnation above `incarnation`, and has it told to others.
+/// Raises the local host's incarnation above `incarnation`, and marks the change for gossip.
 auto raiseIncarnation(Blackboard &board, std::uint64_t incarnation) -> void;
 
 } // namespace flamingograde
--- a/src/core/membership/memberrecord.h
+++ b/src/core/membership/memberrecord.h
@@ -1,4 +1,4 @@
-/// What this host notes of one member beside what the membership protocol carries.
+/// What the local host records about one member, including what no message carries.
 #pragma once
 
 #include "core/overlay/linkrecord.h"
@@ -12,34 +12,34 @@
 
 namespace flamingograde {
 
-/// A member and what was seen of it.
+/// A member and the local host's observations of it.
 struct MemberRecord
 {
     Member member;
-    LinkRecord link;              ///< Its connection, on hosts that keep few.
-    MonoTime changed;             ///< When its state or incarnation last changed.
-    MonoTime heard;               ///< When it last sent anything; when it was added, before that.
-    MonoTime acked;               ///< When the newest probe that it answered was sent.
-    MonoTime vouched;             ///< When another host last said that it reaches it.
-    MonoTime unansweredSince;     ///< Since when it does not answer this host, if `unanswered`.
-    MonoTime nextDial;            ///< Not dialled before this.
-    MonoTime nextIndirect;        ///< Others are not asked about it before this.
+    LinkRecord link;  ///< Connection state, on hosts that connect with a part of the fleet only.
+    MonoTime changed; ///< When its state or incarnation last changed.
+    MonoTime heard;   ///< When it last sent anything; until then, when it was added.
+    MonoTime lastAckedProbeAt;    ///< Send time of the newest probe that it answered.
+    MonoTime lastReportedAliveAt; ///< When another host last reported that it reaches it.
+    MonoTime unansweredSince;     ///< When it stopped answering the local host, if `unanswered`.
+    MonoTime nextDial;            ///< It is not dialled before this.
+    MonoTime nextIndirectProbe;   ///< No indirect probe of it is requested before this.
     Duration backoff { 0 };       ///< Pause after the next failed dial.
-    Revision revision;            ///< Its table, as it last said.
-    Revision directory;           ///< Its directory, as it last said or was sent.
-    std::uint64_t placements = 0; ///< Digest of its placements of keys, as it last said.
-    std::uint32_t refusals = 0;   ///< Refused dials in a row.
-    std::uint32_t tellings = 0;   ///< How often its last change is still to be gossiped.
-    std::optional<MonoTime> differsSince; ///< Since when its view of the fleet is another one.
-    bool readsFail = false;               ///< Its reads of the directory fail, as it last said.
+    Revision revision;            ///< Revision of its table, as last reported.
+    Revision directory;           ///< Revision of its directory, as last reported or sent to it.
+    std::uint64_t placements = 0; ///< Digest of its key placements, as last reported.
+    std::uint32_t refusals = 0;   ///< Refused dials since it was last heard.
+    std::uint32_t remainingGossipSends = 0;   ///< Messages that are still to carry its last change.
+    std::optional<MonoTime> viewDiffersSince; ///< Since when its view of the fleet differs.
+    bool readsFail = false;                   ///< Its directory reads fail, as last reported.
     bool connected = false;
-    bool isNew = false;      ///< Views were not compared since it was connected.
-    bool listed = false;     ///< In the platform's last host list.
-    bool everListed = false; ///< In any host list of the platform.
-    bool leaving = false;    ///< Announced a stop; holds until a new life of it is heard of.
-    bool unanswered = false; ///< A probe or dial of this host failed.
-    bool probeSoon = false;  ///< To be probed by this host itself, out of turn.
-    bool confirmed = false;  ///< Another host does not reach it either, since `unansweredSince`.
+    bool isNew = false;            ///< Views were not compared since it connected.
+    bool listed = false;           ///< In the platform's last host list.
+    bool everListed = false;       ///< In any host list of the platform.
+    bool leaving = false;          ///< Announced a stop; set until it is reported alive again.
+    bool unanswered = false;       ///< A probe or dial by the local host failed.
+    bool probeRequested = false;   ///< The local host probes it with the next tick.
+    bool failureConfirmed = false; ///< Since `unansweredSince`, another host failed to reach it.
 };
 
 } // namespace flamingograde
--- a/src/core/membership/membershipcontroller.cpp
+++ b/src/core/membership/membershipcontroller.cpp
@@ -1,4 +1,4 @@
-/// Events that concern the other hosts.
+/// Handles the events that concern other hosts.
 #include "core/membership/membershipcontroller.h"
 
 #include "core/blackboard.h"
@@ -14,8 +14,9 @@
 
 namespace {
 
-/// Takes one entry of the platform's list. What a host says of itself goes before the list.
-auto takeListed(Blackboard &board, const Member &listed) -> void
+/// Merges one entry of the platform's host list. What a host reports of itself takes precedence
+/// over the list.
+auto mergeListed(Blackboard &board, const Member &listed) -> void
 {
     auto &record = addMember(board, listed);
     record.everListed = true;
@@ -23,30 +24,31 @@
     if (record.member.id == board.membership.self) {
         return;
     }
-    const auto unproven = record.member.incarnation == 0;
-    if (unproven || record.member.state == MemberState::Dead) {
+    const auto lacksIncarnation = record.member.incarnation == 0;
+    if (lacksIncarnation || record.member.state == MemberState::Dead) {
         record.member.peer = listed.peer;
         record.member.relay = listed.relay;
     }
-    if (unproven && listed.state == MemberState::Leaving
+    if (lacksIncarnation && listed.state == MemberState::Leaving
         && record.member.state == MemberState::Alive) {
         changeMember(board, record, MemberState::Leaving);
     }
 }
 
-/// Notes that the member sent something. A suspicion stays until the member refutes it.
-auto noteHeard(const Blackboard &board, MemberRecord &record) -> void
+/// Records that the member sent a message. A suspected member stays suspected until it refutes the
+/// suspicion.
+auto recordContact(const Blackboard &board, MemberRecord &record) -> void
 {
     record.heard = board.now.mono;
     record.refusals = 0;
     if (record.member.state < MemberState::Suspect) {
         record.unanswered = false;
-        record.confirmed = false;
+        record.failureConfirmed = false;
     }
 }
 
-/// Takes what a message tells beside its purpose.
-auto noteGossip(Blackboard &board, HostId from, const Gossip &gossip) -> void
+/// Merges the member updates and loads that a message carries.
+auto mergeGossip(Blackboard &board, HostId from, const Gossip &gossip) -> void
 {
     for (const auto &update : gossip.updates) {
         mergeMember(board, from, update);
@@ -92,7 +94,7 @@
         record.listed = false;
     }
     for (const auto &listed : fetched.hosts) {
-        takeListed(board, listed);
+        mergeListed(board, listed);
     }
     membership.listRead = true;
     membership.listedAt = board.now.mono;
@@ -109,7 +111,7 @@
         return;
     }
     mergeMember(board, member.id, member);
-    noteHeard(board, *board.membership.record(member.id));
+    recordContact(board, *board.membership.record(member.id));
     this->dialer.connected(board, member.id);
     board.membership.record(member.id)->isNew = true;
     sendPeer(board, member.id, Ping { 0, makeGossip(board, member.id) });
@@ -118,7 +120,7 @@
 auto MembershipController::on(Blackboard &board, const PeerDown &down) -> void
 {
     this->dialer.lost(board, down);
-    this->detector.unreachable(board, down.host);
+    this->detector.markUnanswered(board, down.host);
 }
 
 auto MembershipController::on(Blackboard &board, const PeerMessage &received) -> void
@@ -128,24 +130,25 @@
     if (record == nullptr || received.from == board.membership.self) {
         return;
     }
-    noteHeard(board, *record);
+    recordContact(board, *record);
     if (const auto *gossip = gossipOf(received.message)) {
-        noteGossip(board, received.from, *gossip);
+        mergeGossip(board, received.from, *gossip);
         this->lists.heard(board, received.from, *gossip);
     }
     std::visit(
-            Overloaded { [&](const Ping &ping) {
-                            if (ping.sequence != 0) {
-                                sendPeer(board, received.from,
-                                         Ack { ping.sequence, makeGossip(board, received.from) });
-                            }
-                        },
-                         [&](const Ack &ack) { this->detector.acked(board, ack); },
-                         [&](const PingRequest &request) {
-                             this->detector.requested(board, received.from, request);
-                         },
-                         [&](const PingReport &report) { this->detector.reported(board, report); },
-                         [](const auto & /*other*/) {} },
+            Overloaded {
+                    [&](const Ping &ping) {
+                        if (ping.sequence != 0) {
+                            sendPeer(board, received.from,
+                                     Ack { ping.sequence, makeGossip(board, received.from) });
+                        }
+                    },
+                    [&](const Ack &ack) { this->detector.onAck(board, ack); },
+                    [&](const PingRequest &request) {
+                        this->detector.onPingRequest(board, received.from, request);
+                    },
+                    [&](const PingReport &report) { this->detector.onPingReport(board, report); },
+                    [](const auto & /*other*/) {} },
             received.message);
 }
 
@@ -157,8 +160,8 @@
 
 auto MembershipController::on(Blackboard &board, const Tick & /*tick*/) -> void
 {
-    if (board.stop.ready && !this->goodbyeSaid) {
-        this->goodbyeSaid = true;
+    if (board.stop.ready && !this->deathAnnounced) {
+        this->deathAnnounced = true;
         changeMember(board, *board.membership.record(board.membership.self), MemberState::Dead);
         return;
     }
--- a/src/core/membership/membershipcontroller.h
+++ b/src/core/membership/membershipcontroller.h
@@ -1,4 +1,4 @@
-/// Knows which hosts of the fleet are at work.
+/// Tracks which hosts of the fleet are running.
 #pragma once
 
 #include "core/membership/dialer.h"
@@ -14,15 +14,16 @@
 
 class Blackboard;
 
-/// Keeps the members from seeds, the platform's lagging list and the hosts themselves.
+/// Maintains the member list from seeds, the platform's host list, which lags behind, and messages
+/// from the hosts themselves.
 ///
-/// A membership protocol like SWIM: probes, indirect probes, suspicion with refutation by
-/// incarnation, and gossip carried by the probes.
+/// Implements a membership protocol like SWIM: probes, indirect probes, suspicion with refutation
+/// by incarnation, and gossip piggybacked on the probes.
 /// @remarks Not thread safe. Throws nothing.
 class MembershipController
 {
 public:
-    /// Takes one event. Precondition: `board.now` is the time of it.
+    /// Handles one event. Precondition: `board.now` is the time of the event.
     auto handle(Blackboard &board, const Event &event) -> void;
 
 private:
@@ -42,7 +43,7 @@
     ListExchange lists;
     PauseWatch pauses;
     bool started = false;
-    bool goodbyeSaid = false;
+    bool deathAnnounced = false;
 };
 
 } // namespace flamingograde
--- a/src/core/membership/membershipstart.cpp
+++ b/src/core/membership/membershipstart.cpp
@@ -1,4 +1,4 @@
-/// This host's own record and those of its seeds.
+/// Creates the records of the local host and of its seeds.
 #include "core/membership/membershipstart.h"
 
 #include "core/blackboard.h"
@@ -22,10 +22,10 @@
     }
     auto &membership = board.membership;
     membership.self = self.id;
-    membership.seeded = !board.init.seeds.empty() || !board.init.seedAddresses.empty();
+    membership.hasSeeds = !board.init.seeds.empty() || !board.init.seedAddresses.empty();
     membership.startedAt = board.now.mono;
-    membership.pausedAt = board.now.mono;
-    membership.contactAt = board.now.mono - config::pauseThreshold;
+    membership.resumedAt = board.now.mono;
+    membership.lastAnsweredProbeAt = board.now.mono - config::pauseThreshold;
     addMember(board, self);
     for (const auto &seed : board.init.seeds) {
         addMember(board, seed);
--- a/src/core/membership/membershipstart.h
+++ b/src/core/membership/membershipstart.h
@@ -1,11 +1,12 @@
-/// What both forms of membership do at a start.
+/// Start-up steps shared by `MembershipController` and `OverlayController`.
 #pragma once
 
 namespace flamingograde {
 
 class Blackboard;
 
-/// Makes this host and the hosts that its settings name known. Precondition: called once.
+/// Initialises the membership state, and adds the local host and the seeds named in its settings.
+/// Precondition: called once.
 auto beginMembership(Blackboard &board) -> void;
 
 } // namespace flamingograde
--- a/src/core/membership/membershipstate.cpp
+++ b/src/core/membership/membershipstate.cpp
@@ -17,13 +17,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration contactGrace = 1s;  ///< Other hosts tell of the whole fleet within this.
-constexpr Duration unlistedGrace = 5s; ///< A host that no list names waits for others this long.
-constexpr Duration wakeGrace = 1500ms; ///< Hosts that came during a pause dial within this.
+/// Time within which connected hosts send all that they know of the fleet.
+constexpr Duration listExchangeGrace = 1s;
+
+/// How long a host that the platform does not list waits for other hosts to make contact.
+constexpr Duration unlistedGrace = 5s;
+
+/// Time after a pause within which hosts that started during the pause dial this one.
+constexpr Duration resumeGrace = 1500ms;
 
 const std::vector<HostId> noHosts;
 
-/// Returns the hosts of `zone` in `index`; empty for an unknown zone.
+/// Returns the hosts of `zone` in `index`; an empty list for an unknown zone.
 auto hostsOf(const std::unordered_map<ZoneId, std::vector<HostId>> &index, ZoneId zone)
         -> const std::vector<HostId> &
 {
@@ -31,11 +36,11 @@
     return found == index.end() ? noHosts : found->second;
 }
 
-/// Returns a number of a member's life.
-auto hashOf(const Member &member) -> std::uint64_t
+/// Returns a hash of a member's id and incarnation.
+auto hashIdentity(const Member &member) -> std::uint64_t
 {
-    const std::array<std::uint64_t, 2> life { member.id.value(), member.incarnation };
-    return XXH3_64bits(life.data(), sizeof(life));
+    const std::array<std::uint64_t, 2> identity { member.id.value(), member.incarnation };
+    return XXH3_64bits(identity.data(), sizeof(identity));
 }
 
 } // namespace
@@ -89,25 +94,25 @@
 
 auto MembershipState::isIsolated(MonoTime now) const -> bool
 {
-    if (this->undead <= 1) {
+    if (this->notDead <= 1) {
         return false;
     }
-    return this->connected == 0 || now - this->contactAt > config::pauseThreshold;
+    return this->connected == 0 || now - this->lastAnsweredProbeAt > config::pauseThreshold;
 }
 
 auto MembershipState::knowsFleet(MonoTime now) const -> bool
 {
-    const auto awake = now - this->pausedAt;
-    if (this->pauses > 0 && awake < wakeGrace) {
+    const auto sinceResume = now - this->resumedAt;
+    if (this->pauses > 0 && sinceResume < resumeGrace) {
         return false;
     }
-    if (this->listRead && this->listedSelf && this->listedAt >= this->pausedAt) {
+    if (this->listRead && this->listedSelf && this->listedAt >= this->resumedAt) {
         return true;
     }
-    if (this->contactAt >= this->pausedAt && awake >= contactGrace) {
+    if (this->lastAnsweredProbeAt >= this->resumedAt && sinceResume >= listExchangeGrace) {
         return true;
     }
-    return awake >= unlistedGrace && (this->listRead || this->seeded);
+    return sinceResume >= unlistedGrace && (this->listRead || this->hasSeeds);
 }
 
 auto MembershipState::record(HostId host) -> MemberRecord *
@@ -125,30 +130,30 @@
 auto MembershipState::digest() -> std::uint32_t
 {
     if (!std::exchange(this->digestStale, false)) {
-        return this->lastDigest;
+        return this->cachedDigest;
     }
     std::uint64_t sum = 0;
     for (const auto &[id, record] : this->byId) {
-        const auto isCompared =
-                !this->comparedZone.isValid() || record.member.zone == this->comparedZone;
-        if (isCompared && record.member.state != MemberState::Dead) {
-            sum += hashOf(record.member);
+        const auto isInDigest =
+                !this->digestZone.isValid() || record.member.zone == this->digestZone;
+        if (isInDigest && record.member.state != MemberState::Dead) {
+            sum += hashIdentity(record.member);
         }
     }
-    constexpr auto half = 32U;
-    const auto folded = static_cast<std::uint32_t>(sum ^ (sum >> half));
-    this->lastDigest = std::max(folded, 1U);
-    return this->lastDigest;
+    constexpr auto halfBits = 32U;
+    const auto folded = static_cast<std::uint32_t>(sum ^ (sum >> halfBits));
+    this->cachedDigest = std::max(folded, 1U);
+    return this->cachedDigest;
 }
 
 auto MembershipState::refresh() -> void
 {
-    if (!this->stale) {
+    if (!this->lookupsStale) {
         return;
     }
-    this->stale = false;
+    this->lookupsStale = false;
     this->alive = 0;
-    this->undead = 0;
+    this->notDead = 0;
     this->connected = 0;
     std::unordered_map<ZoneId, std::vector<HostId>> newCandidates;
     std::unordered_map<ZoneId, std::vector<HostId>> newVoters;
@@ -158,7 +163,7 @@
             continue;
         }
         this->alive += record.member.state <= MemberState::Leaving ? 1 : 0;
-        ++this->undead;
+        ++this->notDead;
         newVoters[record.member.zone].push_back(id);
         if (!record.leaving && record.member.state != MemberState::Leaving) {
             newCandidates[record.member.zone].push_back(id);
@@ -169,7 +174,7 @@
     }
     this->candidatesByZone = std::move(newCandidates);
     this->votersByZone = std::move(newVoters);
-    ++this->changes;
+    ++this->lookupsVersion;
 }
 
 } // namespace flamingograde
--- a/src/core/membership/meshlinks.cpp
+++ b/src/core/membership/meshlinks.cpp
@@ -1,4 +1,4 @@
-/// All hosts of a small fleet; of a large one those of the zone and bridges.
+/// Selects all hosts of a small fleet; in a large one those of the zone and a few per other zone.
 #include "core/membership/meshlinks.h"
 
 #include "core/blackboard.h"
@@ -26,23 +26,24 @@
     this->chosenVersion = board.membership.version();
     this->chosenSize = records.size();
     this->chosen.clear();
-    const auto flat = records.size() <= config::flatMembershipHosts;
-    std::map<ZoneId, std::multimap<double, HostId>> others;
+    const auto isSmallFleet = records.size() <= config::flatMembershipHosts;
+    std::map<ZoneId, std::multimap<double, HostId>> rankedByZone;
     const auto self = board.membership.self;
     for (const auto &[id, record] : records) {
         if (id == self) {
             continue;
         }
-        if (flat || isInOwnZone(board, record)) {
+        if (isSmallFleet || isInOwnZone(board, record)) {
             this->chosen.push_back(id);
         } else if (record.member.state != MemberState::Dead) {
-            others[record.member.zone].emplace(-rendezvousScore(self.value(), { id.value() }), id);
+            rankedByZone[record.member.zone].emplace(-rendezvousScore(self.value(), { id.value() }),
+                                                     id);
         }
     }
-    for (const auto &[zone, ranked] : others) {
-        std::size_t bridges = 0;
+    for (const auto &[zone, ranked] : rankedByZone) {
+        std::size_t linksToZone = 0;
         for (const auto &[score, id] : ranked) {
-            if (bridges++ == config::bridgesPerZone) {
+            if (linksToZone++ == config::bridgesPerZone) {
                 break;
             }
             this->chosen.push_back(id);
--- a/src/core/membership/meshlinks.h
+++ b/src/core/membership/meshlinks.h
@@ -1,4 +1,4 @@
-/// With whom a host of HTTP rows keeps connections.
+/// Selects the hosts with which a host that serves HTTP rows keeps connections.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -11,17 +11,18 @@
 
 class Blackboard;
 
-/// In a small fleet these are all hosts; in a large one those of the own zone and a few of each
-/// other. The hosts of a zone decide together who is home of a cell, so each hears all others.
+/// Selects all hosts in a small fleet, and in a large one the hosts of the local zone and a few of
+/// each other zone. The hosts of a zone decide together who is home of a cell, so each of them is
+/// connected with all others.
 /// @remarks Not thread safe.
 class MeshLinks
 {
 public:
-    /// Chooses anew where the members changed. Precondition: to be called on each `Tick`.
+    /// Repeats the selection if the members changed. Precondition: called on each `Tick`.
     auto choose(const Blackboard &board) -> void;
-    /// Returns the hosts chosen, sorted. Precondition: none.
+    /// Returns the selected hosts, sorted by id. Precondition: none.
     [[nodiscard]] auto wanted() const -> const std::vector<HostId> & { return this->chosen; }
-    /// Returns whether this host should be connected with `host`. Precondition: none.
+    /// Returns whether the local host should be connected with `host`. Precondition: none.
     [[nodiscard]] auto wants(HostId host) const -> bool;
 
 private:
--- a/src/core/membership/pausewatch.cpp
+++ b/src/core/membership/pausewatch.cpp
@@ -1,4 +1,4 @@
-/// Gaps between events.
+/// Measures the gaps between events.
 #include "core/membership/pausewatch.h"
 
 #include "core/blackboard.h"
@@ -18,7 +18,7 @@
     }
     ++board.stats.pauses;
     ++board.membership.pauses;
-    board.membership.pausedAt = now;
+    board.membership.resumedAt = now;
     board.log(LogEvent::PauseNoticed, "ms=" + std::to_string(milliseconds(gap)));
     return true;
 }
--- a/src/core/membership/pausewatch.h
+++ b/src/core/membership/pausewatch.h
@@ -1,4 +1,4 @@
-/// Notices that the process stood still.
+/// Detects pauses of the process.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -9,13 +9,13 @@
 
 class Blackboard;
 
-/// Takes a gap between two events above `config::pauseThreshold` for a pause of the process.
+/// Treats a gap of more than `config::pauseThreshold` between two events as a pause of the process.
 /// @remarks Not thread safe.
 class PauseWatch
 {
 public:
-    /// Counts and logs a pause. Precondition: to be called on each event, the first one included.
-    /// @returns whether there was one before this event.
+    /// Detects, counts and logs a pause. Precondition: called on each event, including the first.
+    /// @returns whether the process was paused immediately before this event.
     auto notice(Blackboard &board) -> bool;
 
 private:
--- a/src/core/membership/seeddialer.cpp
+++ b/src/core/membership/seeddialer.cpp
@@ -1,4 +1,4 @@
-/// When to dial seeds.
+/// Timing of seed dials.
 #include "core/membership/seeddialer.h"
 
 #include "core/blackboard.h"
@@ -12,12 +12,19 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration firstPause = 100ms;   ///< A starting host reads the directory first.
-constexpr Duration lonelyPeriod = 500ms; ///< All hosts of a fleet start within 300 ms.
-constexpr Duration calmPeriod = 5s;      ///< A few bytes a second for a seed that is down.
-constexpr Duration hubPeriod = 30s;      ///< The same for hubs, which know hosts of each zone.
+/// Delay of the first dial, because a starting host reads the directory first.
+constexpr Duration firstDialDelay = 100ms;
 
-/// Returns whether a host that this one is connected with takes connections at `address`.
+/// Period while no connection is up. All hosts of a fleet start within 300 ms.
+constexpr Duration unconnectedPeriod = 500ms;
+
+/// Period while connected: a seed that is down then costs a few bytes per second.
+constexpr Duration connectedPeriod = 5s;
+
+/// Period of connected hubs, which know hosts of each zone.
+constexpr Duration connectedHubPeriod = 30s;
+
+/// Returns whether a connected host accepts connections at `address`.
 auto isConnectedAt(const Blackboard &board, Address address) -> bool
 {
     const auto &records = board.membership.records();
@@ -26,8 +33,8 @@
     });
 }
 
-/// Returns the seeds' addresses at which no connected host is.
-auto unmetSeeds(const Blackboard &board) -> std::vector<Address>
+/// Returns the seed addresses that belong to no connected host.
+auto unconnectedSeeds(const Blackboard &board) -> std::vector<Address>
 {
     std::vector<Address> addresses;
     for (const auto address : board.init.seedAddresses) {
@@ -42,19 +49,19 @@
 
 auto SeedDialer::tick(Blackboard &board) -> void
 {
-    if (this->next == MonoTime()) {
-        this->next = board.membership.startedAt + firstPause;
+    if (this->nextDial == MonoTime()) {
+        this->nextDial = board.membership.startedAt + firstDialDelay;
     }
-    if (board.now.mono < this->next) {
+    if (board.now.mono < this->nextDial) {
         return;
     }
-    this->next = board.now.mono + this->pause(board);
-    const auto isMet = board.membership.connectedCount() > 0;
-    if (isMet && this->effort == SeedEffort::OneAtATime
+    this->nextDial = board.now.mono + this->dialPeriod(board);
+    const auto hasConnection = board.membership.connectedCount() > 0;
+    if (hasConnection && this->effort == SeedEffort::OneAtATime
         && !board.links.isHub(board.membership.self)) {
         return;
     }
-    auto addresses = unmetSeeds(board);
+    auto addresses = unconnectedSeeds(board);
     if (this->effort == SeedEffort::OneAtATime && !addresses.empty()) {
         std::shuffle(addresses.begin(), addresses.end(), board.random);
         addresses.resize(1);
@@ -64,12 +71,12 @@
     }
 }
 
-auto SeedDialer::pause(const Blackboard &board) const -> Duration
+auto SeedDialer::dialPeriod(const Blackboard &board) const -> Duration
 {
     if (board.membership.connectedCount() == 0) {
-        return lonelyPeriod;
+        return unconnectedPeriod;
     }
-    return this->effort == SeedEffort::All ? calmPeriod : hubPeriod;
+    return this->effort == SeedEffort::All ? connectedPeriod : connectedHubPeriod;
 }
 
 } // namespace flamingograde
--- a/src/core/membership/seeddialer.h
+++ b/src/core/membership/seeddialer.h
@@ -1,4 +1,4 @@
-/// Finds other hosts by the addresses that the settings name.
+/// Finds other hosts through the seed addresses in the settings.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -9,33 +9,34 @@
 
 class Blackboard;
 
-/// How many seeds are dialled at once.
+/// Which seeds are dialled at once, and by which hosts.
 enum class SeedEffort : std::uint8_t {
-    All,        ///< All of them, by every host.
-    OneAtATime, ///< One drawn at random; by hubs only, once this host has met others.
+    All,        ///< Each host dials all seeds.
+    OneAtATime, ///< Each host dials a random seed; once connected, only hubs go on dialling.
 };
 
-/// Dials seed addresses at which no connected host is.
+/// Dials the seed addresses that belong to no connected host.
 ///
-/// Often while this host is alone; seldom otherwise, so that parts of a fleet that lost each other
-/// meet again. In a fleet of 295 hosts that start together, three seeds get 100 connections each in
-/// place of 295 if each host dials one.
+/// Dials often while the local host has no connection, and seldom otherwise, so that partitions of
+/// a fleet find each other again. In a fleet of 295 hosts that start together, three seeds receive
+/// about 100 connections each instead of 295 if each host dials one seed.
 /// @remarks Not thread safe.
 class SeedDialer
 {
 public:
     explicit SeedDialer(SeedEffort chosen) : effort(chosen) {}
 
-    /// Dials what is due. Precondition: to be called on each `Tick`.
+    /// Dials the seeds that are due. Precondition: called on each `Tick`.
     auto tick(Blackboard &board) -> void;
-    /// Dials with the next tick: the seeds changed. Precondition: `tick` was called.
-    auto hurry() -> void { this->next = MonoTime(); }
+    /// Makes the next tick dial, because the seeds changed.
+    /// Precondition: `tick` was called.
+    auto hurry() -> void { this->nextDial = MonoTime(); }
 
 private:
-    [[nodiscard]] auto pause(const Blackboard &board) const -> Duration;
+    [[nodiscard]] auto dialPeriod(const Blackboard &board) const -> Duration;
 
     SeedEffort effort;
-    MonoTime next;
+    MonoTime nextDial;
 };
 
 } // namespace flamingograde
--- a/tests/unit/chaostest.cpp
+++ b/tests/unit/chaostest.cpp
@@ -1,4 +1,4 @@
-/// Random faults: whatever happens, nothing runs twice and no refusal lies.
+/// Checks under random faults that no vote runs twice and that verdicts about execution are true.
 #include "sampletable.h"
 #include "virtualfleet.h"
 
@@ -13,19 +13,19 @@
 
 constexpr std::size_t hostCount = 6;
 
-/// A vote and all attempts of its caller.
+/// A vote request, and all attempts of its caller to have it executed.
 struct Vote
 {
     std::string key;
     std::vector<std::pair<std::size_t, ExchangeId>> attempts;
-    bool left = false;
+    bool callerLeft = false; ///< The caller left before an answer came.
 };
 
-/// A fleet under random faults, and what was asked of it.
-class Chaos
+/// Runs a fleet under random faults, and keeps the requests that were sent to it.
+class RandomFaultRun
 {
 public:
-    explicit Chaos(std::uint64_t seed)
+    explicit RandomFaultRun(std::uint64_t seed)
         : random(seed), fleet({ { "a1", "a" },
                                 { "a2", "a" },
                                 { "a3", "a" },
@@ -42,9 +42,9 @@
     {
         for (int step = 0; step < 400; ++step) {
             this->vote();
-            this->repeat();
+            this->retry();
             this->read();
-            this->fault();
+            this->injectFault();
             this->fleet.serviceTime = Duration(5ms + this->draw(100) * 1ms);
             this->fleet.advance(this->draw(60) * 1ms);
         }
@@ -90,14 +90,14 @@
         this->votes.push_back(vote);
     }
 
-    auto repeat() -> void
+    auto retry() -> void
     {
         if (this->draw(3) > 0) {
             return;
         }
         auto &vote = this->votes[this->votes.size() - 1 - this->draw(this->votes.size()) / 8];
         if (this->draw(8) == 0) {
-            vote.left = true;
+            vote.callerLeft = true;
             this->fleet.give(vote.attempts.back().first,
                              CallerLeft { vote.attempts.back().second });
         }
@@ -112,7 +112,7 @@
         this->reads.emplace_back(host, this->fleet.call(host, address));
     }
 
-    auto fault() -> void
+    auto injectFault() -> void
     {
         const auto roll = this->draw(120);
         const auto host = this->drawHost();
@@ -136,42 +136,42 @@
 
 } // namespace
 
-TEST_CASE("under random faults no vote runs twice and no verdict lies")
+TEST_CASE("under random faults no vote runs twice and a not-run verdict is true")
 {
     std::size_t answered = 0;
     std::size_t votes = 0;
     for (std::uint64_t seed = 1; seed <= 25; ++seed) {
-        Chaos chaos(seed);
-        chaos.run();
-        votes += chaos.votes.size();
-        for (const auto &vote : chaos.votes) {
+        RandomFaultRun faultRun(seed);
+        faultRun.run();
+        votes += faultRun.votes.size();
+        for (const auto &vote : faultRun.votes) {
             INFO("seed " << seed << " key " << vote.key);
-            const auto runs = chaos.fleet.runsOf(vote.key);
+            const auto runs = faultRun.fleet.runsOf(vote.key);
             CHECK(runs <= 1);
-            bool allUnrun = !vote.left;
+            bool allNotRun = !vote.callerLeft;
             for (const auto &[host, id] : vote.attempts) {
-                const auto end = chaos.fleet.result(id);
-                const auto isUnrun = end.refusal && end.refusal->verdict == Verdict::NotRun;
-                allUnrun = allUnrun && isUnrun;
+                const auto end = faultRun.fleet.result(id);
+                const auto isNotRun = end.refusal && end.refusal->verdict == Verdict::NotRun;
+                allNotRun = allNotRun && isNotRun;
                 answered += end.answered || end.replayed ? 1 : 0;
-                if (chaos.killed.count(host) == 0 && !vote.left) {
+                if (faultRun.killed.count(host) == 0 && !vote.callerLeft) {
                     CHECK(end.ends == 1);
                 }
                 CHECK((!end.answered || runs == 1));
             }
-            CHECK((!allUnrun || runs == 0));
+            CHECK((!allNotRun || runs == 0));
         }
-        for (const auto &[host, id] : chaos.reads) {
-            if (chaos.killed.count(host) == 0) {
+        for (const auto &[host, id] : faultRun.reads) {
+            if (faultRun.killed.count(host) == 0) {
                 INFO("seed " << seed << " read " << id.value());
-                CHECK(chaos.fleet.result(id).ends == 1);
+                CHECK(faultRun.fleet.result(id).ends == 1);
             }
         }
-        for (const auto &run : chaos.fleet.runs) {
+        for (const auto &run : faultRun.fleet.runs) {
             CHECK((run.service == "packs")
                   == (run.upstream != UpstreamId::ofName("ia1")
                       && run.upstream != UpstreamId::ofName("ib1")));
         }
     }
-    CHECK(answered > votes / 3); // The faults leave something to be proved.
+    CHECK(answered > votes / 3); // Enough votes are answered for the checks above to be meaningful.
 }
--- a/tests/unit/hostlisttests.cpp
+++ b/tests/unit/hostlisttests.cpp
@@ -1,11 +1,11 @@
-/// Tests of the platform's host list.
+/// Tests for parsing the platform's host list.
 #include "wire/hostlist.h"
 
 #include <catch2/catch.hpp>
 
 using namespace flamingograde;
 
-TEST_CASE("hosts are read", "[hostlist]")
+TEST_CASE("a valid host list is parsed into members", "[hostlist]")
 {
     const auto hosts = parseHostList(
             R"({"hosts": [{"name": "h1", "zone": "z1", "peer": "10.0.0.1:1", "relay": "10.0.0.1:2",
@@ -20,7 +20,7 @@
     CHECK((*hosts)[1].state == MemberState::Leaving);
 }
 
-TEST_CASE("a faulty host list is refused as a whole", "[hostlist]")
+TEST_CASE("a malformed host list is rejected, an empty one is accepted", "[hostlist]")
 {
     CHECK_FALSE(parseHostList(""));
     CHECK_FALSE(parseHostList("[]"));
--- a/tests/unit/listexchangetest.cpp
+++ b/tests/unit/listexchangetest.cpp
@@ -1,4 +1,4 @@
-/// When hosts tell each other all that they know of the fleet.
+/// Tests for the exchange of whole member lists between hosts whose views differ.
 #include "core/membership/listexchange.h"
 #include "core/blackboard.h"
 #include "core/membership/membermerge.h"
@@ -18,10 +18,10 @@
 using namespace std::chrono_literals;
 
 /// A host in zone "a" that is connected with one host in "a" and one in "b".
-class MeetingHost
+class ListExchangeHost
 {
 public:
-    MeetingHost()
+    ListExchangeHost()
     {
         this->board.init.self = sampleMember("host", "a");
         this->board.membership.self = this->board.init.self.id;
@@ -34,24 +34,24 @@
         }
     }
 
-    /// Takes a message of a host. @returns the number of members that it is told in answer.
-    auto hear(const std::string &from, bool isSameView) -> std::size_t
+    /// Handles a message from a host. @returns the number of members in the messages sent in reply.
+    auto receive(const std::string &from, bool isSameView) -> std::size_t
     {
         Gossip gossip;
         gossip.members = this->board.membership.digest() + (isSameView ? 0 : 1);
         this->board.outbox.clear();
         this->lists.heard(this->board, HostId::ofName(from), gossip);
-        std::size_t told = 0;
+        std::size_t memberCount = 0;
         for (const auto &action : this->board.outbox) {
             const auto &sent = std::get<SendPeer>(action);
-            told += std::get<Ping>(sent.message).gossip.updates.size();
+            memberCount += std::get<Ping>(sent.message).gossip.updates.size();
         }
-        return told;
+        return memberCount;
     }
 
-    auto pass(Duration duration) -> void { this->board.now.mono += duration; }
+    auto advance(Duration duration) -> void { this->board.now.mono += duration; }
 
-    auto meet(const std::string &name) -> void
+    auto markAsNew(const std::string &name) -> void
     {
         this->board.membership.record(HostId::ofName(name))->isNew = true;
     }
@@ -62,64 +62,68 @@
 
 } // namespace
 
-TEST_CASE("hosts that meet with equal views tell each other nothing", "[membership]")
+TEST_CASE("newly connected hosts with equal views exchange no member lists", "[membership]")
 {
-    MeetingHost host;
-    CHECK(host.hear("near", true) == 0);
-    CHECK(host.hear("far", true) == 0);
-    host.pass(10s);
-    CHECK(host.hear("near", false) == 0); // It is not new any more.
+    ListExchangeHost host;
+    CHECK(host.receive("near", true) == 0);
+    CHECK(host.receive("far", true) == 0);
+    host.advance(10s);
+    CHECK(host.receive("near", false) == 0); // The views were already compared after it connected.
 }
 
-TEST_CASE("hosts that meet with different views tell each other all, once", "[membership]")
+TEST_CASE("a newly connected host with a different view is sent the whole list once",
+          "[membership]")
 {
-    MeetingHost host;
-    CHECK(host.hear("near", false) == 3);
-    CHECK(host.hear("near", false) == 0);
-    CHECK(host.hear("far", false) == 3);
+    ListExchangeHost host;
+    CHECK(host.receive("near", false) == 3);
+    CHECK(host.receive("near", false) == 0);
+    CHECK(host.receive("far", false) == 3);
 }
 
-TEST_CASE("views that stay apart are told once each time gossip had its chance", "[membership]")
+TEST_CASE("the whole list is sent once whenever views have differed for viewsDiffer",
+          "[membership]")
 {
-    MeetingHost host;
-    host.hear("far", true);
-    CHECK(host.hear("far", false) == 0);
-    host.pass(config::viewsDiffer - 1ms);
-    CHECK(host.hear("far", false) == 0);
-    host.pass(1ms);
-    CHECK(host.hear("far", false) == 3);
-    CHECK(host.hear("far", false) == 0);
-    host.pass(1s);
-    host.hear("far", true);
-    host.pass(config::viewsDiffer);
-    CHECK(host.hear("far", false) == 0); // They agreed meanwhile.
+    ListExchangeHost host;
+    host.receive("far", true);
+    CHECK(host.receive("far", false) == 0);
+    host.advance(config::viewsDiffer - 1ms);
+    CHECK(host.receive("far", false) == 0);
+    host.advance(1ms);
+    CHECK(host.receive("far", false) == 3);
+    CHECK(host.receive("far", false) == 0);
+    host.advance(1s);
+    host.receive("far", true);
+    host.advance(config::viewsDiffer);
+    CHECK(host.receive("far", false)
+          == 0); // The views were equal in between, so the time starts again.
 }
 
-TEST_CASE("lists keep to their allowance, but a new host of the zone hears of the zone",
+TEST_CASE("lists stay within the rate limit, but a new host of the zone is sent the zone's members",
           "[membership]")
 {
-    MeetingHost host;
+    ListExchangeHost host;
     for (int i = 0; i < 400; ++i) {
         addMember(host.board, sampleMember("other-" + std::to_string(i), "c"));
     }
     std::size_t lists = 0;
-    while (host.hear("near", false) > 2) {
+    while (host.receive("near", false) > 2) {
         ++lists;
-        host.meet("near");
+        host.markAsNew("near");
     }
     CHECK(lists >= 1);
     CHECK(lists * 400 * 60 <= config::listBytesAtOnce);
-    host.meet("near");
-    CHECK(host.hear("near", false) == 2); // The two of zone "a".
-    CHECK(host.hear("far", false) == 0);
-    host.pass(25s); // 400 members of 72 bytes at 1,500 a second.
-    CHECK(host.hear("far", false) == 403);
+    host.markAsNew("near");
+    CHECK(host.receive("near", false) == 2); // The two members of zone "a".
+    CHECK(host.receive("far", false) == 0);
+    host.advance(25s); // Time for 400 members of 72 bytes at 1,500 bytes per second.
+    CHECK(host.receive("far", false) == 403);
 }
 
-TEST_CASE("the digest of a view knows its hosts and their lives, not their order", "[membership]")
+TEST_CASE("the digest depends on live hosts and their incarnations, not on suspicion",
+          "[membership]")
 {
-    MeetingHost host;
-    MeetingHost other;
+    ListExchangeHost host;
+    ListExchangeHost other;
     CHECK(host.board.membership.digest() == other.board.membership.digest());
     addMember(host.board, sampleMember("third", "a"));
     CHECK(host.board.membership.digest() != other.board.membership.digest());
--- a/tests/unit/peerfleet.cpp
+++ b/tests/unit/peerfleet.cpp
@@ -1,4 +1,4 @@
-/// Carries out what hosts say to each other and to the platform.
+/// Simulates the links between hosts, and the platform.
 #include "peerfleet.h"
 
 #include "core/overloaded.h"
@@ -12,10 +12,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration delayMin = 300us;
-constexpr Duration delayMax = 900us;
+constexpr Duration minDelay = 300us;
+constexpr Duration maxDelay = 900us;
 constexpr auto wallStart = 1'764'700'000s;
-constexpr Duration skewMax = 500ms;
+constexpr Duration maxClockSkew = 500ms;
 
 } // namespace
 
@@ -30,7 +30,7 @@
     self.peer = { 0x7f000001, static_cast<std::uint16_t>(7000 + this->nodes.size()) };
     self.relay = { 0x7f000001, static_cast<std::uint16_t>(8000 + this->nodes.size()) };
     node.init.seed = this->random();
-    node.skew = Duration(static_cast<Duration::rep>(this->random() % skewMax.count()));
+    node.clockSkew = Duration(static_cast<Duration::rep>(this->random() % maxClockSkew.count()));
     if (seeded) {
         for (const auto &[other, known] : this->nodes) {
             if (other != name) {
@@ -48,14 +48,14 @@
     node.frozen = false;
     node.leaving = false;
     node.revision = 0;
-    node.watch.reset();
-    node.waiting.clear();
-    node.listedFrom = this->now + this->listLag;
+    node.pendingTableRead.reset();
+    node.queuedEvents.clear();
+    node.listedSince = this->now + this->listLag;
     node.board = std::make_unique<Blackboard>(node.init);
     node.config = std::make_unique<ConfigController>();
     node.membership = std::make_unique<MembershipController>();
     node.tenure = std::make_unique<TenureController>();
-    this->tick(name, ++node.life);
+    this->tick(name, ++node.startCount);
 }
 
 auto PeerFleet::kill(const std::string &name) -> void
@@ -77,17 +77,17 @@
 {
     auto &node = this->nodes.at(name);
     node.frozen = false;
-    const auto waiting = std::move(node.waiting);
-    node.waiting.clear();
-    for (const auto &event : waiting) {
-        this->give(name, event);
+    const auto queuedEvents = std::move(node.queuedEvents);
+    node.queuedEvents.clear();
+    for (const auto &event : queuedEvents) {
+        this->deliver(name, event);
     }
 }
 
 auto PeerFleet::leave(const std::string &name) -> void
 {
     this->nodes.at(name).leaving = true;
-    this->give(name, StopRequested {});
+    this->deliver(name, StopRequested {});
 }
 
 auto PeerFleet::fault(const std::set<std::string> &a, const std::set<std::string> &b,
@@ -104,7 +104,7 @@
                 this->disconnect(pair, PeerLoss::Closed);
                 continue;
             }
-            this->later(config::silenceTimeout, [this, pair] {
+            this->schedule(config::silenceTimeout, [this, pair] {
                 if (this->linkFaults.count(pair) != 0) {
                     this->disconnect(pair, PeerLoss::Silent);
                 }
@@ -123,11 +123,11 @@
     this->runUntil([] { return false; }, duration);
 }
 
-auto PeerFleet::runUntil(const std::function<bool()> &done, Duration most)
+auto PeerFleet::runUntil(const std::function<bool()> &done, Duration limit)
         -> std::optional<Duration>
 {
     const auto begin = this->now;
-    while (!this->pending.empty() && this->pending.top().at <= begin + most) {
+    while (!this->pending.empty() && this->pending.top().at <= begin + limit) {
         if (done()) {
             return this->now - begin;
         }
@@ -136,7 +136,7 @@
         this->now = next.at;
         next.run();
     }
-    this->now = begin + most;
+    this->now = begin + limit;
     return std::nullopt;
 }
 
@@ -152,15 +152,15 @@
                       + zone + "\"\naddress = \"10.1.0." + std::to_string(++last) + ":80\"\n";
     }
     for (const auto &[name, node] : this->nodes) {
-        this->answerTable(name);
+        this->answerTableRead(name);
     }
 }
 
 auto PeerFleet::serve(const std::string &name, std::uint64_t number, const std::string &body)
         -> void
 {
-    this->nodes.at(name).served = { number, body };
-    this->answerTable(name);
+    this->nodes.at(name).tableOverride = { number, body };
+    this->answerTableRead(name);
 }
 
 auto PeerFleet::homes(const std::string &zone) const -> std::vector<std::string>
@@ -208,42 +208,42 @@
     return result;
 }
 
-auto PeerFleet::later(Duration wait, std::function<void()> run) -> void
+auto PeerFleet::schedule(Duration wait, std::function<void()> run) -> void
 {
     this->pending.push({ this->now + wait, ++this->order, std::move(run) });
 }
 
 auto PeerFleet::delay() -> Duration
 {
-    const auto range = static_cast<std::uint64_t>((delayMax - delayMin).count());
-    return delayMin + Duration(static_cast<Duration::rep>(this->random() % range));
+    const auto range = static_cast<std::uint64_t>((maxDelay - minDelay).count());
+    return minDelay + Duration(static_cast<Duration::rep>(this->random() % range));
 }
 
-auto PeerFleet::tick(const std::string &name, std::uint64_t life) -> void
+auto PeerFleet::tick(const std::string &name, std::uint64_t startCount) -> void
 {
     const auto &node = this->nodes.at(name);
-    if (!node.running || node.life != life) {
+    if (!node.running || node.startCount != startCount) {
         return;
     }
     if (!node.frozen) {
-        this->give(name, Tick {});
+        this->deliver(name, Tick {});
     }
     const auto jitter = Duration(static_cast<Duration::rep>(this->random() % 2000));
-    this->later(Duration(config::tickPeriod) + jitter, [=] { this->tick(name, life); });
+    this->schedule(Duration(config::tickPeriod) + jitter, [=] { this->tick(name, startCount); });
 }
 
-auto PeerFleet::give(const std::string &name, Event event) -> void
+auto PeerFleet::deliver(const std::string &name, Event event) -> void
 {
     auto &node = this->nodes.at(name);
     if (!node.running) {
         return;
     }
     if (node.frozen) {
-        node.waiting.push_back(std::move(event));
+        node.queuedEvents.push_back(std::move(event));
         return;
     }
     auto &board = *node.board;
-    board.now = { this->now, WallTime(wallStart + this->now.time_since_epoch() + node.skew) };
+    board.now = { this->now, WallTime(wallStart + this->now.time_since_epoch() + node.clockSkew) };
     board.outbox.clear();
     node.config->handle(board, event);
     node.membership->handle(board, event);
@@ -272,16 +272,18 @@
         return;
     }
     const auto id = HostId::ofName(to);
-    const auto broken = this->faultOn(from, to);
-    const auto refused = !this->nodes.at(to).running || broken == LinkFault::Refuse;
-    if (refused && broken != LinkFault::Silent) {
-        this->later(this->delay(), [=] { this->give(from, PeerDown { id, PeerLoss::Refused }); });
+    const auto linkFault = this->faultOn(from, to);
+    const auto refused = !this->nodes.at(to).running || linkFault == LinkFault::Refuse;
+    if (refused && linkFault != LinkFault::Silent) {
+        this->schedule(this->delay(), [=] {
+            this->deliver(from, PeerDown { id, PeerLoss::Refused });
+        });
         return;
     }
-    if (broken == LinkFault::Silent || this->nodes.at(to).frozen) {
-        this->later(config::connectTimeout, [=] {
+    if (linkFault == LinkFault::Silent || this->nodes.at(to).frozen) {
+        this->schedule(config::connectTimeout, [=] {
             if (this->connections.count(pair) == 0) {
-                this->give(from, PeerDown { id, PeerLoss::Silent });
+                this->deliver(from, PeerDown { id, PeerLoss::Silent });
             }
         });
         return;
@@ -289,8 +291,8 @@
     this->connections[pair] = ++this->lastConnection;
     for (const auto &[host, other] : { Pair { from, to }, Pair { to, from } }) {
         const auto &member = this->nodes.at(other).init.self;
-        this->later(this->delay(),
-                    [this, host = host, member] { this->give(host, PeerUp { member }); });
+        this->schedule(this->delay(),
+                       [this, host = host, member] { this->deliver(host, PeerUp { member }); });
     }
 }
 
@@ -305,17 +307,17 @@
     this->bytesSent[from] += bytes.size();
     auto &last = this->lastDelivery[{ from, to }];
     last = std::max(last + 1us, this->now + this->delay());
-    this->later(last - this->now, [=, number = connection->second] {
+    this->schedule(last - this->now, [=, number = connection->second] {
         const auto open = this->connections.find(pairOf(from, to));
         if (open == this->connections.end() || open->second != number || this->faultOn(from, to)) {
             return;
         }
         const auto message = decode(bytes);
         if (!message) {
-            this->faults.push_back("undecodable: " + message.error());
+            this->faults.push_back("undecodable message: " + message.error());
             return;
         }
-        this->give(to, PeerMessage { HostId::ofName(from), *message });
+        this->deliver(to, PeerMessage { HostId::ofName(from), *message });
     });
 }
 
@@ -325,8 +327,8 @@
         return;
     }
     for (const auto &[host, other] : { pair, Pair { pair.second, pair.first } }) {
-        this->later(this->delay(), [this, host = host, id = HostId::ofName(other), loss] {
-            this->give(host, PeerDown { id, loss });
+        this->schedule(this->delay(), [this, host = host, id = HostId::ofName(other), loss] {
+            this->deliver(host, PeerDown { id, loss });
         });
     }
 }
@@ -335,35 +337,38 @@
 {
     ++this->platformCalls;
     if (this->platformDown.count(name) != 0) {
-        this->later(this->delay(), [=] {
-            this->give(name, PlatformFailed { PlatformRead::Table, "down" });
+        this->schedule(this->delay(), [=] {
+            this->deliver(name, PlatformFailed { PlatformRead::Table, "down" });
         });
         return;
     }
     auto &node = this->nodes.at(name);
-    node.watch = read.after;
-    const auto number = ++node.watchNumber;
-    this->answerTable(name);
-    this->later(std::max(read.wait, this->delay()), [this, name, number, life = node.life] {
-        auto &waiting = this->nodes.at(name);
-        if (waiting.watch && waiting.watchNumber == number && waiting.life == life) {
-            waiting.watch.reset();
-            this->give(name, TableUnchanged { Revision { this->revision } });
-        }
-    });
-}
-
-auto PeerFleet::answerTable(const std::string &name) -> void
+    node.pendingTableRead = read.after;
+    const auto number = ++node.tableReadNumber;
+    this->answerTableRead(name);
+    this->schedule(std::max(read.wait, this->delay()),
+                   [this, name, number, startCount = node.startCount] {
+                       auto &reader = this->nodes.at(name);
+                       if (reader.pendingTableRead && reader.tableReadNumber == number
+                           && reader.startCount == startCount) {
+                           reader.pendingTableRead.reset();
+                           this->deliver(name, TableUnchanged { Revision { this->revision } });
+                       }
+                   });
+}
+
+auto PeerFleet::answerTableRead(const std::string &name) -> void
 {
     auto &node = this->nodes.at(name);
-    const auto number = node.served ? node.served->first : this->revision;
-    const auto body = node.served ? node.served->second : this->text;
-    if (!node.watch || node.watch->number == number || this->platformDown.count(name) != 0) {
+    const auto number = node.tableOverride ? node.tableOverride->first : this->revision;
+    const auto body = node.tableOverride ? node.tableOverride->second : this->text;
+    if (!node.pendingTableRead || node.pendingTableRead->number == number
+        || this->platformDown.count(name) != 0) {
         return;
     }
-    node.watch.reset();
-    this->later(this->delay(), [=] {
-        this->give(name, TableFetched { Revision { number }, body });
+    node.pendingTableRead.reset();
+    this->schedule(this->delay(), [=] {
+        this->deliver(name, TableFetched { Revision { number }, body });
     });
 }
 
@@ -372,7 +377,7 @@
     ++this->platformCalls;
     HostsFetched fetched;
     for (const auto &[other, node] : this->nodes) {
-        if (this->now < node.listedFrom) {
+        if (this->now < node.listedSince) {
             continue;
         }
         fetched.hosts.push_back(node.init.self);
@@ -380,11 +385,11 @@
             fetched.hosts.back().state = MemberState::Leaving;
         }
     }
-    this->later(this->delay(), [=] {
+    this->schedule(this->delay(), [=] {
         if (this->platformDown.count(name) != 0) {
-            this->give(name, PlatformFailed { PlatformRead::Hosts, "down" });
+            this->deliver(name, PlatformFailed { PlatformRead::Hosts, "down" });
         } else {
-            this->give(name, fetched);
+            this->deliver(name, fetched);
         }
     });
 }
@@ -393,17 +398,17 @@
 {
     auto &node = this->nodes.at(name);
     for (const auto &[cell, tenure] : node.board->tenure.all()) {
-        for (const auto &[other, rival] : this->nodes) {
-            if (other != name && rival.running && !rival.frozen
-                && rival.board->tenure.since(cell)) {
-                this->faults.push_back("two homes: " + name + " and " + other + " at "
+        for (const auto &[other, otherNode] : this->nodes) {
+            if (other != name && otherNode.running && !otherNode.frozen
+                && otherNode.board->tenure.since(cell)) {
+                this->faults.push_back("two homes of a cell: " + name + " and " + other + " at "
                                        + std::to_string(this->now.time_since_epoch().count()));
             }
         }
     }
     const auto number = node.board->config.revision.number;
     if (number < node.revision) {
-        this->faults.push_back("revision of " + name + " fell");
+        this->faults.push_back("revision of " + name + " decreased");
     }
     node.revision = number;
 }
--- a/tests/unit/peerfleet.h
+++ b/tests/unit/peerfleet.h
@@ -1,4 +1,4 @@
-/// Hosts that talk to each other in virtual time, over links with faults, and a fake platform.
+/// A simulated fleet in virtual time: hosts, links that can be made faulty, and a fake platform.
 #pragma once
 
 #include "core/blackboard.h"
@@ -20,66 +20,67 @@
 
 namespace flamingograde {
 
-/// What a link between two hosts, or a host and the platform, does.
+/// How a faulty link between two hosts behaves.
 enum class LinkFault : std::uint8_t {
-    Silent, ///< Nothing passes; connections stay until they time out.
-    Refuse, ///< Open connections are reset, new ones refused.
+    Silent, ///< Messages are lost; connections stay open until they time out.
+    Refuse, ///< Open connections are closed, new ones are refused.
 };
 
-/// Hosts with the membership, tenure and configuration controllers only. Deterministic.
+/// Hosts that run only the membership, tenure and configuration controllers. Deterministic.
 ///
-/// After each event of a host it is checked that no other host that is at work holds one of its
-/// cells, and that its revision did not fall.
+/// After each event of a host, checks that no other running host is home of one of its cells, and
+/// that its table revision did not decrease. Violations are added to `faults`.
 class PeerFleet
 {
 public:
     explicit PeerFleet(std::uint64_t seed) : random(seed) {}
 
-    /// Adds a host and starts it. Its seeds are the hosts that were added before, if `seeded`.
+    /// Adds a host and starts it. If `seeded`, its seeds are all hosts added before.
     auto add(const std::string &name, const std::string &zone, bool seeded = false) -> void;
-    /// Starts a host that was killed, without memory.
+    /// Restarts a host that was killed, without any of its earlier state.
     auto start(const std::string &name) -> void;
-    /// Ends a host at once; its machine refuses connections afterwards.
+    /// Ends a host's process at once; its machine refuses connections afterwards.
     auto kill(const std::string &name) -> void;
-    /// Stops a host's process without ending it; connections to it stay open and are silent.
+    /// Suspends a host's process without ending it; its connections stay open and silent.
     auto freeze(const std::string &name) -> void;
     auto wake(const std::string &name) -> void;
-    /// Asks a host to stop in order.
+    /// Requests an orderly stop of a host.
     auto leave(const std::string &name) -> void;
-    /// Puts a fault on all links between a host of `a` and one of `b`.
+    /// Applies a fault to all links between a host of `a` and one of `b`.
     auto fault(const std::set<std::string> &a, const std::set<std::string> &b, LinkFault kind)
             -> void;
-    /// Takes all faults away.
+    /// Removes all link faults.
     auto heal() -> void;
     auto run(Duration duration) -> void;
-    /// Runs until `done` or for `most`. @returns how long it took, or nothing.
-    auto runUntil(const std::function<bool()> &done, Duration most) -> std::optional<Duration>;
+    /// Runs until `done` returns true, at most for `limit`.
+    /// @returns the virtual time until then, or nothing if `done` stayed false.
+    auto runUntil(const std::function<bool()> &done, Duration limit) -> std::optional<Duration>;
 
-    /// Publishes a table with one service whose one row is called `row`.
+    /// Publishes a table with one service, which has a single row named `row`.
     auto publish(std::uint64_t revision, const std::string &row) -> void;
-    /// Has the platform serve `text` as `revision` to one host, whatever the others get.
+    /// Makes the platform serve `text` as `revision` to this host only.
     auto serve(const std::string &name, std::uint64_t revision, const std::string &text) -> void;
 
     [[nodiscard]] auto board(const std::string &name) -> Blackboard &
     {
         return *this->nodes.at(name).board;
     }
-    /// Returns the hosts of `zone` at work that are home of its cell.
+    /// Returns the running hosts that are home of the cell of `zone`.
     [[nodiscard]] auto homes(const std::string &zone) const -> std::vector<std::string>;
-    /// Returns whether every cell of the zones of running hosts has one home.
+    /// Returns whether the cell of each zone that has running hosts has exactly one home.
     [[nodiscard]] auto isHomed() const -> bool;
-    /// Returns whether all hosts at work have `revision`.
+    /// Returns whether all running hosts have `revision`.
     [[nodiscard]] auto haveRevision(std::uint64_t revision) const -> bool;
-    /// Returns the state in which `of` is in the view of `at`.
+    /// Returns the state of `of` in the view of `at`; dead if it is unknown there.
     [[nodiscard]] auto stateAt(const std::string &at, const std::string &of) -> MemberState;
     [[nodiscard]] auto names() const -> std::vector<std::string>;
 
-    std::set<std::string> zones { "a", "b", "c" }; ///< With upstreams in the table.
-    std::set<std::string> platformDown;            ///< Hosts that do not reach the platform.
-    Duration listLag { 0 };                        ///< How late the host list is.
+    std::set<std::string> zones { "a", "b", "c" }; ///< Zones with an upstream in the table.
+    std::set<std::string> platformDown;            ///< Hosts whose reads from the platform fail.
+    Duration listLag { 0 };                        ///< Delay until a started host is listed.
     std::uint64_t platformCalls = 0;
     std::map<std::string, std::uint64_t> bytesSent;
-    std::vector<std::string> faults; ///< What the checks found; empty at the end of a good run.
+    std::vector<std::string> faults; ///< Violations that the checks found; a test expects none.
 
 private:
     struct Node
@@ -89,17 +90,18 @@
         std::unique_ptr<ConfigController> config;
         std::unique_ptr<MembershipController> membership;
         std::unique_ptr<TenureController> tenure;
-        std::uint64_t life = 0;
+        std::uint64_t startCount = 0;
         bool running = false;
         bool frozen = false;
         bool leaving = false;
-        Duration skew { 0 };
-        MonoTime listedFrom;
+        Duration clockSkew { 0 };
+        MonoTime listedSince;
         std::uint64_t revision = 0;
-        std::deque<Event> waiting; ///< Came while frozen.
-        std::optional<Revision> watch;
-        std::uint64_t watchNumber = 0; ///< Of the latest read, so that an older one cannot end it.
-        std::optional<std::pair<std::uint64_t, std::string>> served;
+        std::deque<Event> queuedEvents; ///< Events that arrived while frozen.
+        std::optional<Revision> pendingTableRead;
+        std::uint64_t tableReadNumber =
+                0; ///< Number of the latest read; keeps time-outs of older ones from ending it.
+        std::optional<std::pair<std::uint64_t, std::string>> tableOverride;
     };
     struct Pending
     {
@@ -113,16 +115,16 @@
     };
     using Pair = std::pair<std::string, std::string>;
 
-    auto later(Duration delay, std::function<void()> run) -> void;
+    auto schedule(Duration delay, std::function<void()> run) -> void;
     auto delay() -> Duration;
-    auto tick(const std::string &name, std::uint64_t life) -> void;
-    auto give(const std::string &name, Event event) -> void;
+    auto tick(const std::string &name, std::uint64_t startCount) -> void;
+    auto deliver(const std::string &name, Event event) -> void;
     auto perform(const std::string &name, const Action &action) -> void;
     auto connect(const std::string &from, const std::string &to) -> void;
     auto send(const std::string &from, const SendPeer &sent) -> void;
     auto disconnect(const Pair &pair, PeerLoss loss) -> void;
     auto readTable(const std::string &name, const ReadTable &read) -> void;
-    auto answerTable(const std::string &name) -> void;
+    auto answerTableRead(const std::string &name) -> void;
     auto readHosts(const std::string &name) -> void;
     auto check(const std::string &name) -> void;
     [[nodiscard]] auto nameOf(HostId id) const -> std::string;
@@ -131,9 +133,10 @@
     [[nodiscard]] static auto pairOf(const std::string &a, const std::string &b) -> Pair;
 
     std::map<std::string, Node> nodes;
-    std::map<Pair, std::uint64_t> connections; ///< Number of each, by pair.
+    std::map<Pair, std::uint64_t>
+            connections; ///< Number of each open connection, by pair of hosts.
     std::map<Pair, LinkFault> linkFaults;
-    std::map<Pair, MonoTime> lastDelivery; ///< Keeps the order of a direction.
+    std::map<Pair, MonoTime> lastDelivery; ///< Keeps the messages of each direction in order.
     std::priority_queue<Pending> pending;
     std::mt19937_64 random;
     MonoTime now { Duration(1000000000) };
--- a/tests/unit/samplemember.h
+++ b/tests/unit/samplemember.h
@@ -1,4 +1,4 @@
-/// A member for tests.
+/// Creates members for tests.
 #pragma once
 
 #include <flamingograde/member.h>
@@ -7,7 +7,7 @@
 
 namespace flamingograde {
 
-/// Returns a member of the first incarnation.
+/// Returns a member with incarnation 1.
 inline auto sampleMember(const std::string &name, const std::string &zone) -> Member
 {
     Member made;
