--- a/src/core/homes/cell.h
+++ b/src/core/homes/cell.h
@@ -1,4 +1,6 @@
-/// One service's upstreams in one zone, as their home sees them.
+/// Queues, running requests and slot use of a cell: the upstreams of one service in one zone. A
+/// cell has at most one home at a time: the host that queues its requests and dispatches them to
+/// the upstreams.
 #pragma once
 
 #include "core/admission/rowqueue.h"
@@ -15,32 +17,34 @@
 
 namespace flamingograde {
 
-/// What one upstream carries on this host's word.
+/// Load that this host has put on one upstream.
 struct UpstreamLoad
 {
-    std::uint32_t running = 0; ///< Slots taken, those that linger included.
-    double served = 0;         ///< Dispatches by slot; the lowest goes first among equals.
+    std::uint32_t running = 0; ///< Slots in use, lingering ones included.
+    double dispatchesPerSlot =
+            0; ///< Of equally loaded upstreams the one with the lowest is chosen.
 };
 
-/// A slot of a request that was given up here and that its upstream may not have dropped yet.
+/// A slot that stays reserved after this host cancelled its request, because the upstream may still
+/// be processing it.
 struct LingeringSlot
 {
     UpstreamId upstream;
     MonoTime until;
 };
 
-/// The queues and slots of a cell.
+/// The request queues of a cell and the slots in use at its upstreams.
 struct Cell
 {
     CellId id;
-    bool homed = false;      ///< This host was its home when last looked at.
-    std::uint32_t slots = 0; ///< Slots offered when last looked at.
-    double virtualTime = 0;  ///< Of the weighted fair order.
-    std::size_t waiting = 0; ///< Over all rows.
+    bool homed = false;      ///< Whether this host was its home at the last check.
+    std::uint32_t slots = 0; ///< Slots offered at the last check.
+    double virtualTime = 0;  ///< Virtual time of the weighted fair queueing.
+    std::size_t waiting = 0; ///< Queued requests of all rows.
     std::map<RowId, RowQueue> rows;
     std::unordered_map<ExchangeId, RunningRequest> running;
     std::unordered_map<UpstreamId, UpstreamLoad> upstreams;
-    std::deque<LingeringSlot> lingering; ///< Soonest first.
+    std::deque<LingeringSlot> lingering; ///< Ordered by `until`, earliest first.
 };
 
 } // namespace flamingograde
--- a/src/core/homes/celldump.cpp
+++ b/src/core/homes/celldump.cpp
@@ -1,4 +1,4 @@
-/// Writes queues, slots and health of upstreams as JSON.
+/// Converts the queues of a cell and the health of its upstreams to JSON.
 #include "core/homes/celldump.h"
 
 #include "core/blackboard.h"
--- a/src/core/homes/celldump.h
+++ b/src/core/homes/celldump.h
@@ -1,4 +1,4 @@
-/// Writes queues, slots and health of upstreams as JSON.
+/// Converts the queues of a cell and the health of its upstreams to JSON.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -10,11 +10,11 @@
 class Blackboard;
 struct Upstream;
 
-/// Returns the rows of `cell` that this host has queued: their waiting and running counts, place in
-/// the fair order and service time.
+/// Returns the rows of `cell` that have a queue on this host, each with its waiting and running
+/// counts, its position in the weighted fair order and its service time.
 [[nodiscard]] auto cellRowsJson(const Blackboard &board, CellId cell) -> nlohmann::json;
 
-/// Returns what this host knows of `upstream` beside the table.
+/// Returns the health that this host has observed for `upstream`; the table does not contain it.
 [[nodiscard]] auto upstreamHealthJson(const Blackboard &board, const Upstream &upstream)
         -> nlohmann::json;
 
--- a/src/core/homes/cellstore.cpp
+++ b/src/core/homes/cellstore.cpp
@@ -1,4 +1,5 @@
-/// The queues and slots of the cells that this host is home of, and hints of others' loads.
+/// Queues and slots of the cells whose home is this host, and the cell loads reported by other
+/// hosts.
 #include "core/homes/cellstore.h"
 
 #include <flamingograde/config.h>
@@ -18,7 +19,7 @@
              static_cast<std::uint32_t>(cell.waiting) };
 }
 
-auto copyRow(RowQueue &queue, const Row &row) -> void
+auto copyRowSettings(RowQueue &queue, const Row &row) -> void
 {
     queue.row = row.id;
     queue.name = row.name;
@@ -42,17 +43,17 @@
 
 auto CellStore::remove(ExchangeId exchange) -> void
 {
-    const auto found = this->places.find(exchange);
-    if (found == this->places.end()) {
+    const auto found = this->locations.find(exchange);
+    if (found == this->locations.end()) {
         return;
     }
-    const auto place = found->second;
-    if (place.running) {
-        this->ended.push_back(this->release(place, exchange));
+    const auto location = found->second;
+    if (location.running) {
+        this->endedRequests.push_back(this->release(location, exchange));
     } else {
-        this->dequeue(place, exchange);
+        this->dequeue(location, exchange);
     }
-    this->places.erase(exchange);
+    this->locations.erase(exchange);
 }
 
 auto CellStore::runningIn(CellId cell) const -> std::uint32_t
@@ -81,7 +82,7 @@
 
 auto CellStore::noteRemoteLoad(CellLoad load, MonoTime now) -> void
 {
-    this->remote[load.cell] = { load, now };
+    this->remoteLoads[load.cell] = { load, now };
 }
 
 auto CellStore::loadOf(CellId cell, MonoTime now) const -> std::optional<CellLoad>
@@ -90,8 +91,8 @@
     if (own != this->cells.end() && own->second.homed) {
         return loadOfCell(own->second);
     }
-    const auto other = this->remote.find(cell);
-    if (other == this->remote.end() || now - other->second.at > config::loadFresh) {
+    const auto other = this->remoteLoads.find(cell);
+    if (other == this->remoteLoads.end() || now - other->second.receivedAt > config::loadFresh) {
         return std::nullopt;
     }
     return other->second.load;
@@ -125,7 +126,7 @@
 
 auto CellStore::running() const -> std::size_t
 {
-    return this->places.size() - this->queued();
+    return this->locations.size() - this->queued();
 }
 
 auto CellStore::runningAt(CellId cell, UpstreamId upstream) const -> std::uint32_t
@@ -142,21 +143,21 @@
 {
     auto &cell = this->cell(cellId);
     auto &queue = cell.rows[row.id];
-    copyRow(queue, row);
+    copyRowSettings(queue, row);
     if (queue.waiting.empty()) {
         queue.startTag = std::max(queue.startTag, cell.virtualTime);
     }
     queue.waiting.push_back(exchange);
     ++cell.waiting;
-    this->places[exchange] = { cellId, row.id, false };
+    this->locations[exchange] = { cellId, row.id, false };
     return queue;
 }
 
 auto CellStore::start(const RunningRequest &request) -> void
 {
-    auto &place = this->places.at(request.exchange);
-    this->dequeue(place, request.exchange);
-    place.running = true;
+    auto &location = this->locations.at(request.exchange);
+    this->dequeue(location, request.exchange);
+    location.running = true;
     auto &cell = this->cell(request.cell);
     ++cell.rows[request.row].running;
     ++cell.upstreams[request.upstream].running;
@@ -165,8 +166,8 @@
 
 auto CellStore::findRunning(ExchangeId exchange) -> RunningRequest *
 {
-    const auto found = this->places.find(exchange);
-    if (found == this->places.end() || !found->second.running) {
+    const auto found = this->locations.find(exchange);
+    if (found == this->locations.end() || !found->second.running) {
         return nullptr;
     }
     return &this->cell(found->second.cell).running.at(exchange);
@@ -174,8 +175,8 @@
 
 auto CellStore::isWaiting(ExchangeId exchange) const -> bool
 {
-    const auto found = this->places.find(exchange);
-    return found != this->places.end() && !found->second.running;
+    const auto found = this->locations.find(exchange);
+    return found != this->locations.end() && !found->second.running;
 }
 
 auto CellStore::linger(const RunningRequest &request, MonoTime until) -> void
@@ -198,7 +199,7 @@
     for (auto &[id, cell] : this->cells) {
         for (auto &[rowId, queue] : cell.rows) {
             if (const auto *row = table.row(rowId)) {
-                copyRow(queue, *row);
+                copyRowSettings(queue, *row);
             }
         }
         eraseIf(cell.rows, [&](const auto &entry) {
@@ -213,23 +214,23 @@
 
 auto CellStore::takeEnded() -> std::vector<RunningRequest>
 {
-    return std::exchange(this->ended, {});
+    return std::exchange(this->endedRequests, {});
 }
 
-auto CellStore::dequeue(const Place &place, ExchangeId exchange) -> void
+auto CellStore::dequeue(const Location &location, ExchangeId exchange) -> void
 {
-    auto &cell = this->cell(place.cell);
-    auto &waiting = cell.rows[place.row].waiting;
+    auto &cell = this->cell(location.cell);
+    auto &waiting = cell.rows[location.row].waiting;
     waiting.erase(std::find(waiting.begin(), waiting.end(), exchange));
     --cell.waiting;
 }
 
-auto CellStore::release(const Place &place, ExchangeId exchange) -> RunningRequest
+auto CellStore::release(const Location &location, ExchangeId exchange) -> RunningRequest
 {
-    auto &cell = this->cell(place.cell);
+    auto &cell = this->cell(location.cell);
     const auto request = cell.running.at(exchange);
     cell.running.erase(exchange);
-    --cell.rows[place.row].running;
+    --cell.rows[location.row].running;
     --cell.upstreams[request.upstream].running;
     return request;
 }
--- a/src/core/homes/cellstore.h
+++ b/src/core/homes/cellstore.h
@@ -1,4 +1,5 @@
-/// The queues and slots of the cells that this host is home of, and hints of others' loads.
+/// Queues and slots of the cells whose home is this host, and the cell loads reported by other
+/// hosts.
 #pragma once
 
 #include "core/homes/cell.h"
@@ -21,81 +22,88 @@
 
 class Table;
 
-/// Queues, running counts and loads by cell.
-/// @remarks Written by the admission controller, but for `noteRemoteLoad` and `remove`. Not thread
-/// safe.
+/// Stores the queues, running requests and load of each cell.
+/// @remarks Only the admission controller modifies it, except through `noteRemoteLoad` and
+/// `remove`. Not thread safe.
 class CellStore
 {
 public:
-    /// Removes an exchange from its queue or from the running ones, if it is there.
+    /// Removes an exchange from its queue or from the running requests; does nothing if it is in
+    /// neither.
     auto remove(ExchangeId exchange) -> void;
-    /// Returns how many requests of `cell` run at upstreams on this host's word.
+    /// Returns how many requests of `cell` that this host dispatched are running at upstreams.
     [[nodiscard]] auto runningIn(CellId cell) const -> std::uint32_t;
-    /// Returns how many requests of `cell` wait here.
+    /// Returns how many requests of `cell` are queued on this host.
     [[nodiscard]] auto queuedIn(CellId cell) const -> std::uint32_t;
-    /// Returns the loads of the cells with work here, for gossip.
+    /// Returns the loads to gossip: those of the cells whose home is this host and that have
+    /// running or queued requests.
     [[nodiscard]] auto ownLoads() const -> std::vector<CellLoad>;
-    /// Notes what another host said of a cell it is home of.
+    /// Stores the load that another host reported for a cell whose home it is.
     auto noteRemoteLoad(CellLoad load, MonoTime now) -> void;
-    /// Returns the latest known load of `cell`, of this or another host, if fresh enough to use.
+    /// Returns the current load of `cell` if this host is its home, otherwise the load last
+    /// reported by another host; nothing if that report is older than `config::loadFresh`.
     [[nodiscard]] auto loadOf(CellId cell, MonoTime now) const -> std::optional<CellLoad>;
-    /// Returns all requests waiting in `cell`, so that they can be placed again.
+    /// Returns all requests queued in `cell`, so that they can be placed again.
     [[nodiscard]] auto waitingIn(CellId cell) const -> std::vector<ExchangeId>;
 
-    /// Returns the cell, made where it was not known. The reference holds for good.
+    /// Returns the cell and creates it if it is unknown. The reference stays valid for the lifetime
+    /// of the store.
     auto cell(CellId id) -> Cell &;
-    /// Returns all known cells.
+    /// Returns all known cells, by id.
     [[nodiscard]] auto all() const -> const std::map<CellId, Cell> & { return this->cells; }
     [[nodiscard]] auto all() -> std::map<CellId, Cell> & { return this->cells; }
-    /// Returns how many requests wait in all cells.
+    /// Returns how many requests are queued in all cells together.
     [[nodiscard]] auto queued() const -> std::size_t;
-    /// Returns how many requests run in all cells.
+    /// Returns how many requests are running in all cells together.
     [[nodiscard]] auto running() const -> std::size_t;
-    /// Returns how many requests run at `upstream` on this host's word.
+    /// Returns how many slots of `upstream` are in use by requests that this host dispatched in
+    /// `cell`, lingering slots included.
     [[nodiscard]] auto runningAt(CellId cell, UpstreamId upstream) const -> std::uint32_t;
 
-    /// Puts `exchange` at the end of its row's queue. Precondition: it is in no queue.
+    /// Appends `exchange` to its row's queue. Precondition: it is in no queue.
     auto enqueue(CellId cell, const Row &row, ExchangeId exchange) -> RowQueue &;
-    /// Takes a waiting `exchange` out of its queue and lets it hold a slot.
-    /// Precondition: it waits in `request.cell` and `request.row`.
+    /// Moves the exchange of `request` from its queue to the running requests, where it uses a slot
+    /// of its upstream. Precondition: it is queued in `request.cell` and `request.row`.
     auto start(const RunningRequest &request) -> void;
-    /// Returns the running request, or null.
+    /// Returns the running request of `exchange`, or null if it is not running.
     [[nodiscard]] auto findRunning(ExchangeId exchange) -> RunningRequest *;
-    /// Returns whether `exchange` waits in a queue here.
+    /// Returns whether `exchange` is queued on this host.
     [[nodiscard]] auto isWaiting(ExchangeId exchange) const -> bool;
-    /// Keeps the slot of an ended request taken until `until`. Precondition: `until` does not fall.
+    /// Reserves the slot of an ended request until `until`. Precondition: `until` is not earlier
+    /// than in the previous call for the same cell.
     auto linger(const RunningRequest &request, MonoTime until) -> void;
-    /// Frees the slots that lingered until `now`.
+    /// Frees the lingering slots of `cell` whose reservation has expired at `now`.
     auto freeLingering(Cell &cell, MonoTime now) -> void;
-    /// Follows the rows of `table` and drops what it no longer names and nothing uses.
+    /// Copies the settings of the rows from `table`, and removes rows and upstreams that are no
+    /// longer in it and that no request uses.
     auto follow(const Table &table) -> void;
-    /// Returns the running requests that `remove` took away, and forgets the list.
+    /// Returns the running requests that `remove` removed since the last call.
     [[nodiscard]] auto takeEnded() -> std::vector<RunningRequest>;
 
-    Revision revision; ///< Of the table last followed.
+    Revision revision; ///< Revision of the table last passed to `follow`.
 
 private:
-    /// Where an exchange is.
-    struct Place
+    /// The queue or the running requests that contain an exchange.
+    struct Location
     {
         CellId cell;
         RowId row;
         bool running = false;
     };
-    /// A load that another host told.
+    /// A load that another host reported.
     struct RemoteLoad
     {
         CellLoad load;
-        MonoTime at;
+        MonoTime receivedAt;
     };
 
-    auto dequeue(const Place &place, ExchangeId exchange) -> void;
-    auto release(const Place &place, ExchangeId exchange) -> RunningRequest;
+    auto dequeue(const Location &location, ExchangeId exchange) -> void;
+    auto release(const Location &location, ExchangeId exchange) -> RunningRequest;
 
     std::map<CellId, Cell> cells;
-    std::unordered_map<ExchangeId, Place> places;
-    std::unordered_map<CellId, RemoteLoad> remote;
-    std::vector<RunningRequest> ended;
+    std::unordered_map<ExchangeId, Location> locations;
+    std::unordered_map<CellId, RemoteLoad> remoteLoads;
+    std::vector<RunningRequest> endedRequests;
 };
 
 } // namespace flamingograde
--- a/src/core/homes/claim.h
+++ b/src/core/homes/claim.h
@@ -1,4 +1,4 @@
-/// A claim of this host to be home of cells.
+/// A claim of this host: its request to the other hosts of the zone to become the home of cells.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -11,19 +11,21 @@
 
 namespace flamingograde {
 
-/// What another host said to a claim.
+/// Another host's answers to a claim.
 struct Vote
 {
-    std::map<CellId, MonoTime> granted;   ///< When the granted request was sent.
-    std::map<CellId, CellKnowledge> held; ///< Of cells that the voter was home of until then.
+    /// Send time of the request that was granted last, for each granted cell.
+    std::map<CellId, MonoTime> granted;
+    /// What the voter knows of the keys, for each cell whose home it was until it granted the cell.
+    std::map<CellId, CellKnowledge> held;
 };
 
-/// Cells claimed together, and the votes so far.
+/// Cells claimed together, and the votes received so far.
 struct Claim
 {
     std::uint64_t id = 0;
-    std::set<CellId> cells;       ///< Those still claimed.
-    MonoTime nextRequest;         ///< When to ask again.
+    std::set<CellId> cells; ///< Cells whose tenure has not begun and whose claim was not released.
+    MonoTime nextRequest;   ///< Time of the next request to the voters.
     std::map<HostId, Vote> votes; ///< By voter.
 };
 
--- a/src/core/homes/claimant.cpp
+++ b/src/core/homes/claimant.cpp
@@ -1,4 +1,4 @@
-/// Claims, their requests and their votes.
+/// Sends claims to the other hosts of the zone and evaluates their votes.
 #include "core/homes/claimant.h"
 
 #include "core/blackboard.h"
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Returns the hosts of the zone that must grant: all but this one that may be at work.
+/// Returns the hosts that must grant a claim: all others of this zone that are not known to be
+/// dead.
 auto otherVoters(const Blackboard &board) -> std::vector<HostId>
 {
     auto voters = board.membership.voters(board.init.self.zone);
@@ -20,8 +21,8 @@
     return voters;
 }
 
-/// Returns the tenure that begins now. It follows on that of the one voter that was home of `cell`
-/// until it granted it, if there is just one.
+/// Returns the tenure of `cell` that begins now. If exactly one voter was the home until it granted
+/// the cell, the tenure inherits the keys that it handed over. If several say so, none is trusted.
 auto tenureOf(Blackboard &board, const Claim &claim, CellId cell) -> TenureState::Tenure
 {
     TenureState::Tenure tenure { board.now.wall, {} };
@@ -34,7 +35,7 @@
         if (knowledge != nullptr) {
             return { board.now.wall, {} };
         }
-        tenure.former = host;
+        tenure.formerHome = host;
         knowledge = &held->second;
     }
     if (knowledge == nullptr) {
@@ -43,13 +44,14 @@
     board.keys.inherit(cell, knowledge->keys, board.now.mono);
     const auto since = WallTime(Duration(knowledge->knownSinceUs));
     if (since < board.now.wall) {
-        tenure.told = KnownFrom { since, knowledge->tables };
+        tenure.inherited = KnownFrom { since, knowledge->tables };
     }
     return tenure;
 }
 
-/// Takes the grant of `cell` into `vote`.
-auto takeGrant(Vote &vote, const ClaimGrant &grant, CellId cell, MonoTime sentAt) -> void
+/// Records in `vote` that `cell` was granted. A former home that handed over no knowledge is
+/// recorded with the latest possible time, so that nothing is inherited from it.
+auto recordGrant(Vote &vote, const ClaimGrant &grant, CellId cell, MonoTime sentAt) -> void
 {
     vote.granted[cell] = sentAt;
     vote.held.erase(cell);
@@ -67,7 +69,7 @@
 
 } // namespace
 
-auto Claimant::want(Blackboard &board, const std::set<CellId> &cells) -> void
+auto Claimant::setWanted(Blackboard &board, const std::set<CellId> &cells) -> void
 {
     std::set<CellId> missing;
     for (const auto cell : cells) {
@@ -100,24 +102,24 @@
 auto Claimant::advance(Blackboard &board) -> void
 {
     for (auto it = this->rounds.begin(); it != this->rounds.end();) {
-        const auto over = board.now.mono - it->second.sentAt > config::pauseThreshold;
-        it = over ? this->rounds.erase(it) : std::next(it);
+        const auto expired = board.now.mono - it->second.sentAt > config::pauseThreshold;
+        it = expired ? this->rounds.erase(it) : std::next(it);
     }
     for (auto it = this->claims.begin(); it != this->claims.end();) {
         auto &claim = it->second;
-        this->begin(board, claim);
+        this->beginGranted(board, claim);
         if (claim.cells.empty()) {
             it = this->claims.erase(it);
             continue;
         }
         if (board.now.mono >= claim.nextRequest) {
-            this->request(board, claim);
+            this->sendRequest(board, claim);
         }
         ++it;
     }
 }
 
-auto Claimant::granted(Blackboard &board, HostId from, const ClaimGrant &grant) -> void
+auto Claimant::handleGrant(Blackboard &board, HostId from, const ClaimGrant &grant) -> void
 {
     const auto round = this->rounds.find(grant.round);
     if (round == this->rounds.end()) {
@@ -132,7 +134,7 @@
         vote.granted.erase(cell);
     }
     for (const auto cell : grant.granted) {
-        takeGrant(vote, grant, cell, round->second.sentAt);
+        recordGrant(vote, grant, cell, round->second.sentAt);
     }
     this->advance(board);
 }
@@ -162,12 +164,12 @@
 
 auto Claimant::nextNumber(const Blackboard &board) -> std::uint64_t
 {
-    const auto age = static_cast<std::uint64_t>(board.now.wall.time_since_epoch().count());
-    this->lastNumber = std::max(this->lastNumber + 1, age);
+    const auto wallTime = static_cast<std::uint64_t>(board.now.wall.time_since_epoch().count());
+    this->lastNumber = std::max(this->lastNumber + 1, wallTime);
     return this->lastNumber;
 }
 
-auto Claimant::request(Blackboard &board, Claim &claim) -> void
+auto Claimant::sendRequest(Blackboard &board, Claim &claim) -> void
 {
     claim.nextRequest = board.now.mono + config::probePeriod;
     ClaimRequest request;
@@ -181,7 +183,7 @@
     }
 }
 
-auto Claimant::begin(Blackboard &board, Claim &claim) -> void
+auto Claimant::beginGranted(Blackboard &board, Claim &claim) -> void
 {
     std::size_t begun = 0;
     for (auto it = claim.cells.begin(); it != claim.cells.end();) {
--- a/src/core/homes/claimant.h
+++ b/src/core/homes/claimant.h
@@ -1,4 +1,4 @@
-/// Claims cells of the zone for this host.
+/// Claims cells of this zone for this host.
 #pragma once
 
 #include "core/homes/claim.h"
@@ -16,45 +16,48 @@
 
 class Blackboard;
 
-/// Asks all other hosts of the zone for cells, and begins to be home of a cell once all of them
-/// granted it lately.
+/// Requests cells from all other hosts of the zone that are not known to be dead, and makes this
+/// host the home of a cell once each of them has granted it recently.
 ///
-/// A grant counts for `config::pauseThreshold` from when it was asked for: a host that is held to
-/// be dead meanwhile is so for longer, so that no old grant is left when another takes its cells.
+/// A grant is valid for `config::pauseThreshold` after its request was sent. A host that others
+/// declare dead in that time stays dead for longer than that, so none of its grants is still valid
+/// when another host takes its cells.
 /// @remarks Not thread safe.
 class Claimant
 {
 public:
-    /// Sets the cells that this host is to be home of. Claims those that are new.
-    auto want(Blackboard &board, const std::set<CellId> &cells) -> void;
-    /// Asks for what is due and begins what is granted.
+    /// Sets the cells whose home this host should be. Claims those that it neither holds nor claims
+    /// yet, and releases the claims to all others.
+    auto setWanted(Blackboard &board, const std::set<CellId> &cells) -> void;
+    /// Begins the tenure of granted cells, and sends the requests that are due.
     auto advance(Blackboard &board) -> void;
-    /// Takes a vote.
-    auto granted(Blackboard &board, HostId from, const ClaimGrant &grant) -> void;
-    /// Gives up claiming `cell`, if it is claimed.
+    /// Records the answer of `from`. Ignores answers to requests older than
+    /// `config::pauseThreshold`.
+    auto handleGrant(Blackboard &board, HostId from, const ClaimGrant &grant) -> void;
+    /// Releases the claim to `cell`, if there is one.
     auto drop(Blackboard &board, CellId cell) -> void;
 
 private:
-    /// A request that votes may answer.
+    /// A request that was sent to the voters and that they may still answer.
     struct Round
     {
         std::uint64_t claim = 0;
         MonoTime sentAt;
     };
 
-    /// Returns a number that no life of this host used before.
+    /// Returns a number that this host has not used before, not even before a restart.
     [[nodiscard]] auto nextNumber(const Blackboard &board) -> std::uint64_t;
-    auto request(Blackboard &board, Claim &claim) -> void;
-    auto begin(Blackboard &board, Claim &claim) -> void;
-    /// Gives up claiming `cells` and tells the voters.
+    auto sendRequest(Blackboard &board, Claim &claim) -> void;
+    auto beginGranted(Blackboard &board, Claim &claim) -> void;
+    /// Releases the claim to `cells` and notifies the voters.
     auto release(Blackboard &board, Claim &claim, const std::vector<CellId> &cells) -> void;
     [[nodiscard]] static auto isGranted(const Blackboard &board, const Claim &claim, CellId cell)
             -> bool;
 
     std::map<std::uint64_t, Claim> claims; ///< By id.
-    std::map<std::uint64_t, Round> rounds; ///< Those young enough to count.
-    std::uint64_t lastNumber = 0;          ///< Of claims and rounds; at least the wall time in
-                                           ///< microseconds, so that a restart repeats none.
+    std::map<std::uint64_t, Round> rounds; ///< By number; only those not yet expired.
+    std::uint64_t lastNumber = 0; ///< Last id given to a claim or round. At least the wall time in
+                                  ///< microseconds, so that a restart repeats no number.
 };
 
 } // namespace flamingograde
--- a/src/core/homes/giveback.cpp
+++ b/src/core/homes/giveback.cpp
@@ -1,4 +1,4 @@
-/// What becomes of a request at a host that is not, or no longer, its cell's home.
+/// Hands back a request on a host that is not, or no longer, the home of its cell.
 #include "core/homes/giveback.h"
 
 #include "core/blackboard.h"
--- a/src/core/homes/giveback.h
+++ b/src/core/homes/giveback.h
@@ -1,4 +1,4 @@
-/// What becomes of a request at a host that is not, or no longer, its cell's home.
+/// Hands back a request on a host that is not, or no longer, the home of its cell.
 #pragma once
 
 namespace flamingograde {
@@ -6,10 +6,10 @@
 class Blackboard;
 struct Exchange;
 
-/// Hands a caller's request back to be placed again, and refuses a relayed one as not run, so that
-/// its sender places it again.
-/// Precondition: nothing of it was sent.
-/// @remarks A relayed exchange is gone afterwards.
+/// Queues a request received from a caller to be placed again. Refuses a request relayed by another
+/// host as not run, so that the sender places it again.
+/// Precondition: nothing of it was sent to an upstream.
+/// @remarks A relayed exchange no longer exists afterwards.
 auto giveBack(Blackboard &board, Exchange &exchange) -> void;
 
 } // namespace flamingograde
--- a/src/core/homes/grantor.cpp
+++ b/src/core/homes/grantor.cpp
@@ -1,4 +1,4 @@
-/// Votes on claims.
+/// Answers claims with grants or refusals.
 #include "core/homes/grantor.h"
 
 #include "core/blackboard.h"
@@ -13,8 +13,9 @@
 
 namespace {
 
-/// Returns whether `from` asks every host of the zone that this one knows to be at work.
-auto asksAll(const Blackboard &board, HostId from, const ClaimRequest &request) -> bool
+/// Returns whether `from` sent `request` to every host of the zone that must grant it in the
+/// membership view of this host.
+auto asksAllVoters(const Blackboard &board, HostId from, const ClaimRequest &request) -> bool
 {
     const auto &known = board.membership.voters(board.init.self.zone);
     return std::all_of(known.begin(), known.end(), [&](HostId host) {
@@ -23,55 +24,55 @@
     });
 }
 
-/// Returns whether nothing stands against saying that the cell is given up.
-auto isFinished(const Blackboard &board, CellId cell, const Handover &handover) -> bool
+/// Returns whether the cell may be granted: none of its requests runs, or the timeout has elapsed.
+auto mayGrant(const Blackboard &board, CellId cell, const Handover &handover) -> bool
 {
     return board.cells.runningIn(cell) == 0
            || board.now.mono - handover.since >= config::handoverTimeout;
 }
 
-/// Returns what this host, home of `cell` until now, knows of its keys.
-/// @param most how many keys are told.
-auto knowledgeOf(const Blackboard &board, CellId cell, const KnownFrom &atBegin, std::size_t most)
-        -> CellKnowledge
+/// Returns what this host, the home of `cell` until now, knows of its keys.
+/// @param maxKeys the largest number of keys to return.
+auto knowledgeOf(const Blackboard &board, CellId cell, const KnownFrom &atBegin,
+                 std::size_t maxKeys) -> CellKnowledge
 {
     auto known = knownFromNow(board, cell, atBegin);
     const auto after = board.now.wall - config::handoverWindow;
-    auto keys = board.keys.handOver(cell, after, most, known.since);
+    auto keys = board.keys.handOver(cell, after, maxKeys, known.since);
     return { cell, known.since.time_since_epoch().count(), known.tables, std::move(keys) };
 }
 
-/// Adds `cell` to what is granted.
-/// @param cells how many cells share the bound on keys.
+/// Adds `cell` to `grant`, with its keys if this host was its last home.
+/// @param cells the number of cells that share the limit `config::handoverKeysMax`.
 auto grantCell(const Blackboard &board, Handover &handover, CellId cell, std::size_t cells,
                ClaimGrant &grant) -> void
 {
     handover.granted = true;
     grant.granted.push_back(cell);
-    if (!handover.held) {
+    if (!handover.wasLastHome) {
         return;
     }
-    const auto most = config::handoverKeysMax / cells;
+    const auto maxKeys = config::handoverKeysMax / cells;
     grant.held.push_back(cell);
-    grant.knowledge.push_back(knowledgeOf(board, cell, handover.known, most));
+    grant.knowledge.push_back(knowledgeOf(board, cell, handover.keysKnownFrom, maxKeys));
 }
 
 } // namespace
 
-auto Grantor::requested(Blackboard &board, Claimant &claimant, HostId from,
-                        const ClaimRequest &request) -> void
+auto Grantor::handleRequest(Blackboard &board, Claimant &claimant, HostId from,
+                            const ClaimRequest &request) -> void
 {
     ClaimGrant grant;
     grant.round = request.round;
-    const auto complete = asksAll(board, from, request);
+    const auto complete = asksAllVoters(board, from, request);
     for (const auto cell : request.cells) {
         if (!complete || board.membership.homeOf(cell, board.init.self.zone) != from) {
             grant.refused.push_back(cell);
             continue;
         }
         claimant.drop(board, cell);
-        auto &handover = this->handOver(board, from, request, cell);
-        if (!isFinished(board, cell, handover)) {
+        auto &handover = this->startHandover(board, from, request, cell);
+        if (!mayGrant(board, cell, handover)) {
             continue;
         }
         grantCell(board, handover, cell, request.cells.size(), grant);
@@ -87,7 +88,7 @@
 auto Grantor::advance(Blackboard &board) -> void
 {
     for (auto &[cell, handover] : this->handovers) {
-        if (!handover.to.isValid() || handover.granted || !isFinished(board, cell, handover)) {
+        if (!handover.to.isValid() || handover.granted || !mayGrant(board, cell, handover)) {
             continue;
         }
         ClaimGrant grant;
@@ -97,7 +98,7 @@
     }
 }
 
-auto Grantor::released(HostId from, const ClaimRelease &release) -> void
+auto Grantor::handleRelease(HostId from, const ClaimRelease &release) -> void
 {
     for (const auto cell : release.cells) {
         const auto found = this->handovers.find(cell);
@@ -112,15 +113,15 @@
     }
 }
 
-auto Grantor::disown() -> void
+auto Grantor::clearLastHome() -> void
 {
     for (auto &[cell, handover] : this->handovers) {
-        handover.held = false;
+        handover.wasLastHome = false;
     }
 }
 
-auto Grantor::handOver(Blackboard &board, HostId from, const ClaimRequest &request, CellId cell)
-        -> Handover &
+auto Grantor::startHandover(Blackboard &board, HostId from, const ClaimRequest &request,
+                            CellId cell) -> Handover &
 {
     const auto known = board.tenure.knownFrom(cell);
     const auto wasHome = board.tenure.end(cell);
@@ -132,10 +133,10 @@
     if (added || wasHome) {
         handover = Handover {};
         handover.since = board.now.mono;
-        handover.held = wasHome;
-        handover.known = known.value_or(KnownFrom {});
+        handover.wasLastHome = wasHome;
+        handover.keysKnownFrom = known.value_or(KnownFrom {});
     } else if (handover.claim != request.claim || handover.to != from) {
-        handover.held = handover.held && !handover.granted;
+        handover.wasLastHome = handover.wasLastHome && !handover.granted;
         handover.granted = false;
     }
     handover.to = from;
--- a/src/core/homes/grantor.h
+++ b/src/core/homes/grantor.h
@@ -1,4 +1,4 @@
-/// Answers the claims of other hosts.
+/// Answers claims that other hosts make to cells.
 #pragma once
 
 #include "core/homes/handover.h"
@@ -13,25 +13,28 @@
 class Blackboard;
 class Claimant;
 
-/// Grants a cell to the host that is its home in this host's view too, and gives it up before.
+/// Grants a cell to the claiming host if that is its home by the membership view of this host too.
+/// If this host is the home, it ends its own tenure first.
 /// @remarks Not thread safe.
 class Grantor
 {
 public:
-    /// Takes a claim of `from`; `claimant` gives up what is granted.
-    auto requested(Blackboard &board, Claimant &claimant, HostId from, const ClaimRequest &request)
-            -> void;
-    /// Grants the cells whose requests are finished, or were waited for long enough.
+    /// Answers a claim of `from`. Makes `claimant` release its own claims to the cells concerned.
+    auto handleRequest(Blackboard &board, Claimant &claimant, HostId from,
+                       const ClaimRequest &request) -> void;
+    /// Grants the claimed cells whose requests have finished on this host, or for which
+    /// `config::handoverTimeout` has elapsed.
     auto advance(Blackboard &board) -> void;
-    /// Takes the word of `from` that it was never home by a claim.
-    auto released(HostId from, const ClaimRelease &release) -> void;
-    /// Hands over no cell any more as its home until now: another host may have been home since.
-    auto disown() -> void;
-    /// Forgets the promise to another host: this host is home again.
-    auto regained(CellId cell) -> void { this->handovers.erase(cell); }
+    /// Handles the message of `from` that it released its claim before it became the home.
+    auto handleRelease(HostId from, const ClaimRelease &release) -> void;
+    /// Stops regarding this host as the last home of any cell, so that it hands over no keys:
+    /// another host may have been the home since.
+    auto clearLastHome() -> void;
+    /// Discards the handover of `cell` to another host, because this host is its home again.
+    auto discard(CellId cell) -> void { this->handovers.erase(cell); }
 
 private:
-    auto handOver(Blackboard &board, HostId from, const ClaimRequest &request, CellId cell)
+    auto startHandover(Blackboard &board, HostId from, const ClaimRequest &request, CellId cell)
             -> Handover &;
 
     std::map<CellId, Handover> handovers;
--- a/src/core/homes/handover.h
+++ b/src/core/homes/handover.h
@@ -1,4 +1,4 @@
-/// A cell that this host gives up.
+/// State of a cell that this host hands over to another host.
 #pragma once
 
 #include "core/homes/knownfrom.h"
@@ -10,17 +10,18 @@
 
 namespace flamingograde {
 
-/// A promise to another host: at once not to begin anything in the cell, and to say so once what
-/// runs is finished.
+/// The handover of a cell to a claiming host. From its start this host dispatches nothing in the
+/// cell. It sends the grant once the running requests have finished or `config::handoverTimeout`
+/// has elapsed.
 struct Handover
 {
-    HostId to;               ///< Who claims the cell; invalid where it gave that up.
-    std::uint64_t claim = 0; ///< Its claim.
-    std::uint64_t round = 0; ///< Its newest request.
-    MonoTime since;          ///< When the promise began.
-    bool held = false;       ///< This host was home until then, and nobody since.
-    KnownFrom known;         ///< What it knew of the keys as the home.
-    bool granted = false;    ///< It was said.
+    HostId to;                ///< The claiming host; invalid if it released its claim.
+    std::uint64_t claim = 0;  ///< Id of its claim.
+    std::uint64_t round = 0;  ///< Number of its latest request.
+    MonoTime since;           ///< When the handover began.
+    bool wasLastHome = false; ///< Whether this host was the home until then, and no host since.
+    KnownFrom keysKnownFrom;  ///< From when it knew all keys, as the home.
+    bool granted = false;     ///< Whether the grant was sent.
 };
 
 } // namespace flamingograde
--- a/src/core/homes/inheritedkeys.h
+++ b/src/core/homes/inheritedkeys.h
@@ -1,4 +1,4 @@
-/// The keys of a cell that its former home handed over.
+/// Idempotency keys of a cell that its former home handed over.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -9,7 +9,7 @@
 
 namespace flamingograde {
 
-/// Keys by their hash. All are forgotten together.
+/// The keys handed over for one cell, by their hash. All expire together.
 struct InheritedKeys
 {
     std::unordered_map<std::uint64_t, HandedKey> keys;
--- a/src/core/homes/knownfrom.h
+++ b/src/core/homes/knownfrom.h
@@ -1,4 +1,4 @@
-/// From when a home knows every dispatch of a cell.
+/// The time from which a home knows all idempotency keys dispatched in a cell.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -6,11 +6,11 @@
 
 namespace flamingograde {
 
-/// Every key that was dispatched in a cell is known to its home, or was dispatched before `since`.
+/// The home of a cell knows every key that was dispatched in the cell at or after `since`.
 struct KnownFrom
 {
     WallTime since;
-    Revision tables; ///< `since` allows for keys that tables up to this one led elsewhere.
+    Revision tables; ///< `since` covers keys that tables up to this revision placed in other cells.
 };
 
 } // namespace flamingograde
--- a/src/core/homes/tenurecontroller.cpp
+++ b/src/core/homes/tenurecontroller.cpp
@@ -1,4 +1,4 @@
-/// When this host may be home of a cell, and when it must not be any more.
+/// Decides when this host becomes the home of a cell and when its tenure ends.
 #include "core/homes/tenurecontroller.h"
 
 #include "core/blackboard.h"
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Returns whether this zone has another host that may be at work.
-auto hasNeighbours(const Blackboard &board) -> bool
+/// Returns whether this zone has another host that is not known to be dead.
+auto hasOtherVoters(const Blackboard &board) -> bool
 {
     return board.membership.voters(board.init.self.zone).size() > 1;
 }
@@ -31,55 +31,55 @@
 
 auto TenureController::handle(Blackboard &board, const Event &event) -> void
 {
-    this->fence(board);
+    this->endUnsafeTenures(board);
     if (const auto *received = std::get_if<PeerMessage>(&event)) {
         if (const auto *request = std::get_if<ClaimRequest>(&received->message)) {
-            this->grantor.requested(board, this->claimant, received->from, *request);
+            this->grantor.handleRequest(board, this->claimant, received->from, *request);
         }
         if (const auto *release = std::get_if<ClaimRelease>(&received->message)) {
-            this->grantor.released(received->from, *release);
+            this->grantor.handleRelease(received->from, *release);
         }
         if (const auto *grant = std::get_if<ClaimGrant>(&received->message);
             grant != nullptr && this->mayClaim(board)) {
-            this->claimant.granted(board, received->from, *grant);
+            this->claimant.handleGrant(board, received->from, *grant);
         }
     }
-    const auto changed = this->cellsOf != board.config.revision
+    const auto changed = this->zoneCellsRevision != board.config.revision
                          || this->reviewedVersion != board.membership.version();
     if (changed || std::holds_alternative<Tick>(event)) {
         this->review(board);
     }
 }
 
-auto TenureController::fence(Blackboard &board) -> void
+auto TenureController::endUnsafeTenures(Blackboard &board) -> void
 {
     const auto &membership = board.membership;
-    if (this->pauses != membership.pauses) {
-        this->pauses = membership.pauses;
-        this->endAll(board, "after a pause");
+    if (this->handledPauses != membership.pauses) {
+        this->handledPauses = membership.pauses;
+        this->endAllTenures(board, "after a pause of the process");
     }
-    if (this->deaths != membership.deaths) {
-        this->deaths = membership.deaths;
-        this->endAll(board, "held to be dead");
+    if (this->handledDeaths != membership.deaths) {
+        this->handledDeaths = membership.deaths;
+        this->endAllTenures(board, "reported to be dead by another host");
     }
-    if (hasNeighbours(board) && membership.isIsolated(board.now.mono)) {
-        this->endAll(board, "cut off");
+    if (hasOtherVoters(board) && membership.isIsolated(board.now.mono)) {
+        this->endAllTenures(board, "cut off from all other hosts");
     }
 }
 
 auto TenureController::review(Blackboard &board) -> void
 {
     this->reviewedVersion = board.membership.version();
-    if (this->cellsOf != board.config.revision) {
-        this->cellsOf = board.config.revision;
+    if (this->zoneCellsRevision != board.config.revision) {
+        this->zoneCellsRevision = board.config.revision;
         this->zoneCells = cellsOfZone(board);
-        std::vector<CellId> gone;
+        std::vector<CellId> removed;
         for (const auto &[cell, tenure] : board.tenure.all()) {
             if (this->zoneCells.count(cell) == 0) {
-                gone.push_back(cell);
+                removed.push_back(cell);
             }
         }
-        for (const auto cell : gone) {
+        for (const auto cell : removed) {
             board.tenure.end(cell);
         }
     }
@@ -91,22 +91,22 @@
             }
         }
     }
-    this->claimant.want(board, wanted);
+    this->claimant.setWanted(board, wanted);
     this->claimant.advance(board);
     for (const auto &[cell, tenure] : board.tenure.all()) {
-        this->grantor.regained(cell);
-        const auto *former = board.membership.find(tenure.former);
+        this->grantor.discard(cell);
+        const auto *former = board.membership.find(tenure.formerHome);
         if (former != nullptr && former->state == MemberState::Dead) {
-            board.tenure.forgetFormer(tenure.former);
+            board.tenure.forgetFormer(tenure.formerHome);
         }
     }
     this->grantor.advance(board);
 }
 
-auto TenureController::endAll(Blackboard &board, const char *why) -> void
+auto TenureController::endAllTenures(Blackboard &board, const char *why) -> void
 {
-    this->claimant.want(board, {});
-    this->grantor.disown();
+    this->claimant.setWanted(board, {});
+    this->grantor.clearLastHome();
     std::vector<CellId> cells;
     for (const auto &[cell, tenure] : board.tenure.all()) {
         cells.push_back(cell);
@@ -122,7 +122,7 @@
 
 auto TenureController::mayClaim(const Blackboard &board) const -> bool
 {
-    if (hasNeighbours(board)) {
+    if (hasOtherVoters(board)) {
         return !board.membership.isIsolated(board.now.mono);
     }
     return board.membership.knowsFleet(board.now.mono);
--- a/src/core/homes/tenurecontroller.h
+++ b/src/core/homes/tenurecontroller.h
@@ -1,4 +1,4 @@
-/// Makes one host at a time the home of each cell.
+/// Ensures that each cell has at most one home at a time.
 #pragma once
 
 #include "core/homes/claimant.h"
@@ -15,28 +15,31 @@
 
 class Blackboard;
 
-/// Claims the cells that rendezvous gives to this host, answers the claims of others, and gives up
-/// all cells after a pause, while cut off, and when others held this host to be dead.
+/// Claims the cells that rendezvous hashing assigns to this host and answers the claims of other
+/// hosts. Ends all tenures of this host after a pause of the process, while no other host is
+/// reachable, and when other hosts have declared it dead.
 /// @remarks Not thread safe. Throws nothing.
 class TenureController
 {
 public:
-    /// Takes one event. Precondition: `board.now` is the time of it.
+    /// Handles one event. Precondition: `board.now` is the time of the event.
     auto handle(Blackboard &board, const Event &event) -> void;
 
 private:
-    auto fence(Blackboard &board) -> void;
+    /// Ends all tenures if another host may have become the home of the cells of this host.
+    auto endUnsafeTenures(Blackboard &board) -> void;
+    /// Updates the claims, tenures and handovers to the table and the membership.
     auto review(Blackboard &board) -> void;
-    auto endAll(Blackboard &board, const char *why) -> void;
+    auto endAllTenures(Blackboard &board, const char *why) -> void;
     [[nodiscard]] auto mayClaim(const Blackboard &board) const -> bool;
 
     Claimant claimant;
     Grantor grantor;
     std::set<CellId> zoneCells;        ///< The cells of this zone in the table in force.
-    Revision cellsOf;                  ///< The table of `zoneCells`.
-    std::uint64_t reviewedVersion = 0; ///< The membership at the last review.
-    std::uint64_t pauses = 0;          ///< Pauses dealt with.
-    std::uint64_t deaths = 0;          ///< False deaths dealt with.
+    Revision zoneCellsRevision;        ///< Revision of the table behind `zoneCells`.
+    std::uint64_t reviewedVersion = 0; ///< Version of the membership at the last review.
+    std::uint64_t handledPauses = 0;   ///< Number of pauses handled.
+    std::uint64_t handledDeaths = 0;   ///< Number of false reports of its death handled.
 };
 
 } // namespace flamingograde
--- a/src/core/homes/tenurestate.h
+++ b/src/core/homes/tenurestate.h
@@ -1,4 +1,4 @@
-/// The cells that this host is home of.
+/// The cells whose home is this host.
 #pragma once
 
 #include "core/homes/knownfrom.h"
@@ -12,49 +12,53 @@
 
 namespace flamingograde {
 
-/// A host is home of a cell from the moment when every other candidate of the zone granted its
-/// claim, until it grants another's claim, was paused, or is cut off.
-/// @remarks Written by the tenure controller only. Not thread safe.
+/// Records the tenures of this host. A tenure of a cell begins when every other candidate of the
+/// zone has granted the claim of this host. It ends when this host accepts the claim of another
+/// host, was paused, was declared dead, or can reach no other host.
+/// @remarks Only the tenure controller modifies it. Not thread safe.
 class TenureState
 {
 public:
-    /// Returns since when (wall time) this host may run requests of `cell`, or nothing.
+    /// Returns the wall time at which the tenure of `cell` began; nothing if this host is not its
+    /// home and must not run its requests.
     [[nodiscard]] auto since(CellId cell) const -> std::optional<WallTime>;
 
-    /// Returns from when this host knows every dispatch of `cell`, or nothing where it is not its
-    /// home: from the begin of its tenure, or from earlier where the former home told it.
+    /// Returns from when this host knows every dispatch of `cell`: from the beginning of its
+    /// tenure, or from an earlier time if the former home handed over its keys. Nothing if it is
+    /// not the home.
     [[nodiscard]] auto knownFrom(CellId cell) const -> std::optional<KnownFrom>;
 
-    /// Returns whether this host claims `cell` and waits for grants: requests may wait here.
+    /// Returns whether this host claims `cell` and waits for grants. Requests of the cell may be
+    /// queued meanwhile.
     [[nodiscard]] auto isClaiming(CellId cell) const -> bool;
 
-    /// Returns the host that granted this host's claim and was home of `cell` before; invalid for
-    /// none known or none alive.
+    /// Returns the host that was the home of `cell` until it granted the claim of this host;
+    /// invalid if none is known or it is dead.
     [[nodiscard]] auto formerHome(CellId cell) const -> HostId;
 
-    /// What is known of a cell that this host is home of.
+    /// A period in which this host is the home of a cell.
     struct Tenure
     {
         WallTime since;
-        HostId former;                      ///< Invalid for none known.
-        std::optional<KnownFrom> told = {}; ///< By the former home.
+        HostId formerHome;                       ///< Invalid if none is known.
+        std::optional<KnownFrom> inherited = {}; ///< Reported by the former home.
     };
 
-    /// Returns all cells that this host is home of.
-    [[nodiscard]] auto all() const -> const std::map<CellId, Tenure> & { return this->held; }
+    /// Returns the tenures of this host, by cell.
+    [[nodiscard]] auto all() const -> const std::map<CellId, Tenure> & { return this->tenures; }
 
-    /// Begins to be home of `cell`; the claim, if any, is over.
+    /// Makes this host the home of `cell`, and ends its claim if there is one.
     auto begin(CellId cell, Tenure tenure) -> void;
-    /// Is no longer home of `cell`. @returns whether it was.
+    /// Ends the tenure of `cell`. @returns whether this host was its home.
     auto end(CellId cell) -> bool;
-    /// Notes whether `cell` is being claimed.
+    /// Sets whether this host is claiming `cell`.
     auto setClaiming(CellId cell, bool claiming) -> void;
-    /// Forgets `host` as a former home: it is dead.
+    /// Removes `host` as the former home of all cells, because it is dead.
     auto forgetFormer(HostId host) -> void;
 
 private:
-    std::map<CellId, Tenure> held;
-    std::set<CellId> claimed;
+    std::map<CellId, Tenure> tenures;
+    std::set<CellId> claimedCells;
 };
 
 } // namespace flamingograde
--- a/src/core/placement/cellhomeplacement.h
+++ b/src/core/placement/cellhomeplacement.h
@@ -1,21 +1,23 @@
-/// Placement in cells that have one home each.
+/// Placement of exchanges in cells, each of which has one home.
 #pragma once
 
 #include "core/placement/placement.h"
 
 namespace flamingograde {
 
-/// Leads an exchange to the home of one cell of its service.
+/// Sends an exchange to the home of one cell of its service.
 ///
-/// A caller's idempotency key decides the cell alone, so that each repeat meets the host that
-/// knows it. An idempotent flow with a token stays at its upstream. All others go to the less
-/// loaded of two cells drawn in proportion to their slots.
+/// For a request with a caller's idempotency key the key alone determines the cell, so that each
+/// repeat reaches the host that knows the key. An idempotent flow with a token stays at its
+/// upstream on the first attempt, if that accepts new requests. All others go to the cell that this
+/// host has given the fewest requests per slot, except overloaded cells; if all are overloaded, to
+/// the less loaded of two cells drawn in proportion to their slots.
 class CellHomePlacement
 {
 public:
-    /// Places `exchange` and binds it to its flow's upstream where that holds.
+    /// Places `exchange`, and binds it to the upstream of its flow if that is still usable.
     /// Precondition: its row is in the table.
-    auto place(Blackboard &board, Exchange &exchange) const -> Placed;
+    auto place(Blackboard &board, Exchange &exchange) const -> PlacementDecision;
 };
 
 } // namespace flamingograde
--- a/src/core/placement/leastloadedplacement.cpp
+++ b/src/core/placement/leastloadedplacement.cpp
@@ -1,4 +1,4 @@
-/// Baseline: placement by the own fewest requests.
+/// Baseline: placement at the upstream with the fewest requests from this host.
 #include "core/placement/leastloadedplacement.h"
 
 #include "core/blackboard.h"
@@ -7,13 +7,13 @@
 
 namespace flamingograde {
 
-auto LeastLoadedPlacement::place(Blackboard &board, Exchange &exchange) const -> Placed
+auto LeastLoadedPlacement::place(Blackboard &board, Exchange &exchange) const -> PlacementDecision
 {
     auto open = openUpstreams(board, exchange.service);
     if (open.empty()) {
-        return PlaceNowhere { RefusalReason::NoUpstream, false };
+        return NoPlacement { RefusalReason::NoUpstream, false };
     }
-    std::shuffle(open.begin(), open.end(), board.random); // Ties go to any.
+    std::shuffle(open.begin(), open.end(), board.random); // Breaks ties at random.
     const auto share = [&](const Upstream *upstream) {
         return static_cast<double>(ownRunningAt(board, upstream->id)) / upstream->slots;
     };
@@ -21,7 +21,7 @@
             std::min_element(open.begin(), open.end(), [&](const Upstream *a, const Upstream *b) {
                 return share(a) < share(b);
             });
-    return PlaceDirect { (*least)->id };
+    return DirectUpstream { (*least)->id };
 }
 
 } // namespace flamingograde
--- a/src/core/placement/placedshares.cpp
+++ b/src/core/placement/placedshares.cpp
@@ -1,4 +1,4 @@
-/// Counts of placements by cell.
+/// Counts placements per slot by cell.
 #include "core/placement/placedshares.h"
 
 #include <flamingograde/config.h>
@@ -7,7 +7,7 @@
 
 namespace flamingograde {
 
-auto PlacedShares::of(CellId cell) const -> double
+auto PlacedShares::perSlot(CellId cell) const -> double
 {
     const auto found = this->shares.find(cell);
     return found == this->shares.end() ? 0 : found->second;
--- a/src/core/placement/placement.cpp
+++ b/src/core/placement/placement.cpp
@@ -1,4 +1,4 @@
-/// What placement strategies share: the cells of a service and their homes.
+/// Functions shared by the placement strategies: the cells of a service, their homes and upstreams.
 #include "core/placement/placement.h"
 
 #include "core/blackboard.h"
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// Returns whether a home answers, as far as is known: this host by its tenure, another by its
-/// membership and, in a fleet where all hosts are connected, by the connection with it.
+/// Returns whether the home of a cell is believed to answer. This host does if it holds or claims
+/// the cell. Another host does if it is alive and, in a fleet small enough for all hosts to be
+/// connected, a connection with it is up.
 auto isReachable(const Blackboard &board, HostId home, CellId cell) -> bool
 {
     if (home == board.init.self.id) {
@@ -25,8 +26,8 @@
            || board.membership.aliveCount() > config::flatMembershipHosts;
 }
 
-/// Returns whether a home runs requests at once, as far as is known: a claim of this host may still
-/// wait for the former home's requests.
+/// Returns whether the home of a cell is believed to run requests without delay. This host does not
+/// while it only claims the cell, since the claim may wait for requests of the former home.
 auto isReady(const Blackboard &board, HostId home, CellId cell) -> bool
 {
     if (home == board.init.self.id) {
@@ -51,20 +52,21 @@
     return choices;
 }
 
-auto placeInZone(const Blackboard &board, ServiceId service, ZoneId zone) -> Placed
+auto placeInZone(const Blackboard &board, ServiceId service, ZoneId zone) -> PlacementDecision
 {
     const auto cell = cellOf(service, zone);
     const auto home = board.membership.homeOf(cell, zone);
     if (!home.isValid()) {
-        return PlaceNowhere { RefusalReason::NoHome, false };
+        return NoPlacement { RefusalReason::NoHome, false };
     }
     if (!isReachable(board, home, cell)) {
-        return PlaceNowhere { RefusalReason::NoHome, true }; // Surely not run, unlike a lost relay.
+        // A retry is safe: the exchange was provably not run, unlike one whose relay was lost.
+        return NoPlacement { RefusalReason::NoHome, true };
     }
     if (home == board.init.self.id) {
-        return PlaceHere { cell };
+        return LocalHome { cell };
     }
-    return PlaceAt { cell, zone, home };
+    return RemoteHome { cell, zone, home };
 }
 
 auto zoneNameOf(const Blackboard &board, CellId cell) -> std::string
--- a/src/core/placement/statichashplacement.cpp
+++ b/src/core/placement/statichashplacement.cpp
@@ -1,4 +1,4 @@
-/// Baseline: placement by a hash.
+/// Baseline: placement by a hash of the request.
 #include "core/placement/statichashplacement.h"
 
 #include "core/blackboard.h"
@@ -6,7 +6,7 @@
 
 namespace flamingograde {
 
-auto StaticHashPlacement::place(Blackboard &board, Exchange &exchange) const -> Placed
+auto StaticHashPlacement::place(Blackboard &board, Exchange &exchange) const -> PlacementDecision
 {
     const auto open = openUpstreams(board, exchange.service);
     std::vector<RendezvousNode> nodes;
@@ -17,9 +17,9 @@
     const auto key = exchange.key.empty() ? exchange.id.value() : hashName(exchange.key);
     const auto winner = rendezvousPick(key, nodes);
     if (winner == rendezvousNone) {
-        return PlaceNowhere { RefusalReason::NoUpstream, false };
+        return NoPlacement { RefusalReason::NoUpstream, false };
     }
-    return PlaceDirect { open[winner]->id };
+    return DirectUpstream { open[winner]->id };
 }
 
 } // namespace flamingograde
--- a/src/core/placement/statichashplacement.h
+++ b/src/core/placement/statichashplacement.h
@@ -1,17 +1,19 @@
-/// Baseline: placement by a hash.
+/// Baseline: placement by a hash of the request.
 #pragma once
 
 #include "core/placement/placement.h"
 
 namespace flamingograde {
 
-/// Sends each request to the upstream that a hash of it names, whatever its load.
-/// @remarks A baseline to measure against; it keeps none of the promises on keys and slots.
+/// Sends each request to the upstream chosen by a weighted rendezvous hash of its idempotency key,
+/// or of its exchange id if it has none, regardless of load.
+/// @remarks A baseline for comparison. It guarantees neither that a key runs at most once nor that
+/// an upstream gets no more requests than it has slots.
 class StaticHashPlacement
 {
 public:
     /// Places `exchange`. Precondition: its row is in the table.
-    auto place(Blackboard &board, Exchange &exchange) const -> Placed;
+    auto place(Blackboard &board, Exchange &exchange) const -> PlacementDecision;
 };
 
 } // namespace flamingograde
--- a/src/core/placement/steeringcontroller.h
+++ b/src/core/placement/steeringcontroller.h
@@ -1,4 +1,4 @@
-/// Decides where each request goes from its entry host.
+/// Decides where the host that received a request sends it.
 #pragma once
 
 #include "core/placement/cellhomeplacement.h"
@@ -16,11 +16,12 @@
 
 class Blackboard;
 
-using Placement = std::variant<CellHomePlacement, UpstreamHomePlacement, LeastLoadedPlacement,
-                               TwoChoicesPlacement, StaticHashPlacement>;
+using PlacementStrategy =
+        std::variant<CellHomePlacement, UpstreamHomePlacement, LeastLoadedPlacement,
+                     TwoChoicesPlacement, StaticHashPlacement>;
 
-/// Places the exchanges of `toPlace`: hands them to admission here, relays them to their home,
-/// has them wait, or refuses them.
+/// Places the exchanges in `Blackboard::toPlace`: passes each to admission on this host, relays it
+/// to its home, dispatches it directly for a baseline, delays it, or refuses it.
 /// @remarks Not thread safe.
 class SteeringController
 {
@@ -28,14 +29,14 @@
     /// Precondition: none.
     explicit SteeringController(Policy policy = Policy::CellHome);
 
-    /// Takes the exchanges whose pause has ended. Precondition: none.
+    /// Moves the exchanges whose delay has elapsed to `Blackboard::toPlace`. Precondition: none.
     auto handle(Blackboard &board, const Event &event) -> void;
 
-    /// Places what is in `toPlace`. Precondition: none.
+    /// Places all exchanges in `Blackboard::toPlace`. Precondition: none.
     auto settle(Blackboard &board) -> void;
 
 private:
-    Placement placement; ///< By the policy of the settings.
+    PlacementStrategy strategy; ///< Chosen by the configured policy.
 };
 
 } // namespace flamingograde
--- a/src/core/placement/twochoicesplacement.cpp
+++ b/src/core/placement/twochoicesplacement.cpp
@@ -1,15 +1,15 @@
-/// Baseline: placement by two choices.
+/// Baseline: placement at the better of two random upstreams.
 #include "core/placement/twochoicesplacement.h"
 
 #include "core/blackboard.h"
 
 namespace flamingograde {
 
-auto TwoChoicesPlacement::place(Blackboard &board, Exchange &exchange) const -> Placed
+auto TwoChoicesPlacement::place(Blackboard &board, Exchange &exchange) const -> PlacementDecision
 {
     const auto open = openUpstreams(board, exchange.service);
     if (open.empty()) {
-        return PlaceNowhere { RefusalReason::NoUpstream, false };
+        return NoPlacement { RefusalReason::NoUpstream, false };
     }
     std::vector<double> weights;
     for (const auto *upstream : open) {
@@ -21,7 +21,7 @@
     const auto share = [&](const Upstream *upstream) {
         return static_cast<double>(ownRunningAt(board, upstream->id)) / upstream->slots;
     };
-    return PlaceDirect { share(second) < share(first) ? second->id : first->id };
+    return DirectUpstream { share(second) < share(first) ? second->id : first->id };
 }
 
 } // namespace flamingograde
--- a/src/core/placement/upstreamchoice.cpp
+++ b/src/core/placement/upstreamchoice.cpp
@@ -1,4 +1,4 @@
-/// Which upstream of a cell runs the next request.
+/// Chooses the upstream of a cell that runs the next request.
 #include "core/placement/upstreamchoice.h"
 
 #include "core/blackboard.h"
@@ -11,17 +11,18 @@
 
 namespace {
 
-/// An upstream that was away catches up on no more than this many dispatches of the smallest one.
-constexpr double servedLagMax = 2.0;
+/// Limits how far an upstream that was unavailable catches up: to this many dispatches of the
+/// upstream with the fewest slots.
+constexpr double dispatchLagMax = 2.0;
 
-auto isLess(const SlotOffer &a, const SlotOffer &b) -> bool
+auto isPreferred(const SlotOffer &a, const SlotOffer &b) -> bool
 {
     if (a.lastResort != b.lastResort) {
         return b.lastResort;
     }
     const auto left = std::uint64_t { a.running } * b.slots;
     const auto right = std::uint64_t { b.running } * a.slots;
-    return left != right ? left < right : a.served < b.served;
+    return left != right ? left < right : a.dispatchesPerSlot < b.dispatchesPerSlot;
 }
 
 auto saysDraining(const Blackboard &board, const SlotOffer &offer) -> bool
@@ -30,15 +31,15 @@
     return health != nullptr && health->saysDraining;
 }
 
-/// Takes away the offers of upstreams that say they drain, unless too much would be left out: a
-/// health endpoint may mislead.
-auto heedDrainHints(const Blackboard &board, std::vector<SlotOffer> &offers) -> void
+/// Sets the offered slots of upstreams that report draining to 0, unless these have more than the
+/// share `config::ejectShareMax` of all offered slots: a health endpoint may report a wrong state.
+auto excludeDraining(const Blackboard &board, std::vector<SlotOffer> &offers) -> void
 {
-    std::uint32_t hinted = 0;
+    std::uint32_t drainingSlots = 0;
     for (const auto &offer : offers) {
-        hinted += saysDraining(board, offer) ? offer.slots : 0;
+        drainingSlots += saysDraining(board, offer) ? offer.slots : 0;
     }
-    if (hinted > config::ejectShareMax * offeredSlots(offers)) {
+    if (drainingSlots > config::ejectShareMax * offeredSlots(offers)) {
         return;
     }
     for (auto &offer : offers) {
@@ -73,11 +74,11 @@
         const auto load = cell.upstreams.find(upstream.id);
         if (load != cell.upstreams.end()) {
             offer.running = load->second.running;
-            offer.served = load->second.served;
+            offer.dispatchesPerSlot = load->second.dispatchesPerSlot;
         }
         offers.push_back(offer);
     }
-    heedDrainHints(board, offers);
+    excludeDraining(board, offers);
     return offers;
 }
 
@@ -91,7 +92,7 @@
 {
     const SlotOffer *best = nullptr;
     for (const auto &offer : offers) {
-        if (offer.isFree() && (best == nullptr || isLess(offer, *best))) {
+        if (offer.isFree() && (best == nullptr || isPreferred(offer, *best))) {
             best = &offer;
         }
     }
@@ -101,17 +102,17 @@
 auto countServed(Cell &cell, const std::vector<SlotOffer> &offers, const SlotOffer &offer) -> void
 {
     auto least = std::numeric_limits<double>::max();
-    auto fewest = offer.slots;
+    auto fewestSlots = offer.slots;
     for (const auto &other : offers) {
-        least = std::min(least, &other == &offer ? least : other.served);
-        fewest = std::min(fewest, std::max<std::uint32_t>(other.slots, 1));
+        least = std::min(least, &other == &offer ? least : other.dispatchesPerSlot);
+        fewestSlots = std::min(fewestSlots, std::max<std::uint32_t>(other.slots, 1));
     }
     const auto step = 1.0 / offer.slots;
-    auto &served = cell.upstreams[offer.upstream->id].served;
+    auto &dispatches = cell.upstreams[offer.upstream->id].dispatchesPerSlot;
     if (offers.size() > 1) {
-        served = std::max(served, least - servedLagMax / fewest);
+        dispatches = std::max(dispatches, least - dispatchLagMax / fewestSlots);
     }
-    served += step;
+    dispatches += step;
 }
 
 } // namespace flamingograde
--- a/src/core/placement/upstreamchoice.h
+++ b/src/core/placement/upstreamchoice.h
@@ -1,4 +1,4 @@
-/// Which upstream of a cell runs the next request.
+/// Chooses the upstream of a cell that runs the next request.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -12,14 +12,16 @@
 struct Cell;
 struct Upstream;
 
-/// What an upstream offers now.
+/// The slots that an upstream currently offers, and their use.
 struct SlotOffer
 {
-    const Upstream *upstream = nullptr; ///< Of the table in force.
-    std::uint32_t slots = 0;            ///< It may run this many at once.
-    std::uint32_t running = 0;          ///< It runs this many.
-    double served = 0;                  ///< As `UpstreamLoad::served`.
-    bool lastResort = false; ///< Traffic failed there lately and probes still speak against it.
+    const Upstream *upstream = nullptr; ///< Entry in the table in force.
+    std::uint32_t slots = 0;            ///< Requests that it may run at once.
+    std::uint32_t running = 0;          ///< Slots in use, lingering ones included.
+    double dispatchesPerSlot = 0;       ///< See `UpstreamLoad::dispatchesPerSlot`.
+    /// Whether requests to it failed recently and its health probes still fail. It is chosen only
+    /// if no other upstream has a free slot.
+    bool lastResort = false;
 
     [[nodiscard]] auto isFree() const -> bool { return this->running < this->slots; }
 };
@@ -27,17 +29,20 @@
 /// Returns whether the table in force has an active upstream in `cell`.
 [[nodiscard]] auto hasActiveUpstream(const Blackboard &board, CellId cell) -> bool;
 
-/// Returns what the active upstreams of `cell` offer; those with no slots now included.
+/// Returns the offers of the active, not quarantined upstreams of `cell`, including those that have
+/// no slots now.
 [[nodiscard]] auto slotOffers(const Blackboard &board, const Cell &cell) -> std::vector<SlotOffer>;
 
-/// Returns the sum of the offered slots.
+/// Returns the sum of the offered slots, used or free.
 [[nodiscard]] auto offeredSlots(const std::vector<SlotOffer> &offers) -> std::uint32_t;
 
-/// Returns the free offer with the lowest share of its slots taken, the least served of several;
-/// null for none.
+/// Returns the offer with a free slot and the smallest share of its slots in use, and of equal ones
+/// the one with the lowest `dispatchesPerSlot`; null if no slot is free. Offers marked `lastResort`
+/// come after all others.
 [[nodiscard]] auto chooseUpstream(const std::vector<SlotOffer> &offers) -> const SlotOffer *;
 
-/// Counts a dispatch to `offer` in `cell`, so that ties even out over time.
+/// Counts a dispatch to `offer` in `cell`, so that equally loaded upstreams get requests in
+/// proportion to their slots over time.
 auto countServed(Cell &cell, const std::vector<SlotOffer> &offers, const SlotOffer &offer) -> void;
 
 } // namespace flamingograde
--- a/src/core/placement/upstreamhomeplacement.cpp
+++ b/src/core/placement/upstreamhomeplacement.cpp
@@ -1,4 +1,4 @@
-/// Baseline: a queue of its own for each upstream.
+/// Baseline: a separate queue for each upstream.
 #include "core/placement/upstreamhomeplacement.h"
 
 #include "core/blackboard.h"
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// Returns an open upstream of `cell` by rendezvous of the exchange's key; invalid for none.
-auto upstreamIn(const Blackboard &board, CellId cell, const Exchange &exchange) -> UpstreamId
+/// Returns the usable upstream of `cell` that rendezvous hashing chooses for the key of `exchange`,
+/// or for its id if it has no key; invalid if no upstream is usable.
+auto pickUpstream(const Blackboard &board, CellId cell, const Exchange &exchange) -> UpstreamId
 {
     std::vector<RendezvousNode> nodes;
     for (const auto index : board.table().upstreamsOf(cell)) {
@@ -25,15 +26,15 @@
 
 } // namespace
 
-auto UpstreamHomePlacement::place(Blackboard &board, Exchange &exchange) const -> Placed
+auto UpstreamHomePlacement::place(Blackboard &board, Exchange &exchange) const -> PlacementDecision
 {
-    const auto placed = this->cells.place(board, exchange);
-    const auto cell = std::visit(Overloaded { [](const PlaceHere &here) { return here.cell; },
-                                              [](const PlaceAt &at) { return at.cell; },
+    const auto placed = this->cellPlacement.place(board, exchange);
+    const auto cell = std::visit(Overloaded { [](const LocalHome &local) { return local.cell; },
+                                              [](const RemoteHome &remote) { return remote.cell; },
                                               [](const auto &) { return CellId(); } },
                                  placed);
     if (cell.isValid() && !exchange.bound) {
-        exchange.upstream = upstreamIn(board, cell, exchange);
+        exchange.upstream = pickUpstream(board, cell, exchange);
         exchange.bound = exchange.upstream.isValid();
     }
     return placed;
--- a/tests/unit/cellhome.h
+++ b/tests/unit/cellhome.h
@@ -1,5 +1,5 @@
-/// A cell's home in virtual time, for tests: the controllers of admission, keys and upstreams with
-/// scripted upstreams behind them.
+/// Test fixture that simulates the home of a cell in virtual time: the controllers of admission,
+/// keys, outcomes and upstreams, with scripted upstreams behind them.
 #pragma once
 
 #include "core/admission/admissioncontroller.h"
@@ -24,7 +24,7 @@
 
 using namespace std::chrono_literals;
 
-/// A host that is home of the one cell of service "pack" in zone "z1".
+/// A host that is the home of the only cell, of service "pack" in zone "z1".
 class CellHome
 {
 public:
@@ -38,15 +38,15 @@
     std::vector<Upstream> upstreams;
     std::map<UpstreamId, std::uint32_t> running;
     std::map<UpstreamId, std::uint32_t> dispatched;
-    std::map<UpstreamId, std::uint32_t> most; ///< Most running at once.
+    std::map<UpstreamId, std::uint32_t> most; ///< Highest number running at once.
     std::map<ExchangeId, Refusal> refused;
     std::map<ExchangeId, Dispatch> sent;
     std::map<ExchangeId, std::shared_ptr<const std::string>> replayed;
-    std::vector<ExchangeId> order; ///< Of dispatches.
+    std::vector<ExchangeId> order; ///< Exchanges in the order of their dispatch.
     std::vector<ProbeUpstream> probes;
     std::vector<SendPeer> messages;
-    std::vector<ExchangeId> placed;                   ///< Given back to be placed again.
-    std::function<void(const Dispatch &)> onDispatch; ///< Called with each.
+    std::vector<ExchangeId> placed;                   ///< Handed back to be placed again.
+    std::function<void(const Dispatch &)> onDispatch; ///< Called for each dispatch.
 
     CellHome() { this->board.now = { MonoTime(1000s), WallTime(1700000000s) }; }
 
@@ -78,64 +78,66 @@
         return upstream.id;
     }
 
-    /// Puts `rows` and `upstreams` in force as the next revision.
+    /// Puts a table of `rows` and `upstreams` in force as the next revision.
     auto publish() -> void
     {
         this->board.config.table =
                 std::make_shared<const Table>(this->rows, this->upstreams, std::vector<TokenKey>());
         ++this->board.config.revision.number;
         auto &placements = this->board.config.placements;
-        const auto longAgo = this->board.now.wall - 2h;
+        const auto twoHoursAgo = this->board.now.wall - 2h;
         placements.merge({ { this->board.config.revision,
-                             longAgo,
+                             twoHoursAgo,
                              activeZones(*this->board.config.table),
                              {} } },
                          this->board.now.wall);
-        placements.agree(longAgo);
+        placements.agree(twoHoursAgo);
         this->run(Tick {});
     }
 
-    /// Is home from `age` ago.
+    /// Begins a tenure of the cell, dated `age` before now.
     auto beginTenure(Duration age) -> void
     {
         this->board.tenure.begin(this->cell, { this->board.now.wall - age, this->former });
     }
 
-    /// Is home for long, and has the table in force.
+    /// Begins a tenure dated one hour ago, and puts the table in force.
     auto start() -> void
     {
         this->beginTenure(1h);
         this->publish();
     }
 
-    /// Has one event handled, then what became due.
+    /// Handles one event, settles until no exchange is left to place or admit, and processes the
+    /// resulting actions.
     auto run(const Event &event) -> void
     {
-        this->upstream.handle(this->board, event);
-        this->outcome.handle(this->board, event);
-        this->key.handle(this->board, event);
-        this->admission.handle(this->board, event);
+        this->upstreamController.handle(this->board, event);
+        this->outcomeController.handle(this->board, event);
+        this->keyController.handle(this->board, event);
+        this->admissionController.handle(this->board, event);
         while (true) {
-            const auto given = std::exchange(this->board.toPlace, {});
-            this->placed.insert(this->placed.end(), given.begin(), given.end());
-            this->key.settle(this->board);
-            this->admission.settle(this->board);
+            const auto handedBack = std::exchange(this->board.toPlace, {});
+            this->placed.insert(this->placed.end(), handedBack.begin(), handedBack.end());
+            this->keyController.settle(this->board);
+            this->admissionController.settle(this->board);
             if (this->board.toPlace.empty() && this->board.toAdmit.empty()) {
                 break;
             }
         }
         for (const auto &action : std::exchange(this->board.outbox, {})) {
-            this->take(action);
+            this->handleAction(action);
         }
     }
 
-    /// Lets `time` pass, with ticks and the events that fall due.
+    /// Advances the clock by `time`, with ticks and the scheduled calls that become due.
     auto pass(Duration time) -> void
     {
         const auto end = this->board.now.mono + time;
         while (true) {
             const auto tick = this->lastTick + config::tickPeriod;
-            const auto due = this->due.empty() ? tick : std::min(tick, this->due.begin()->first);
+            const auto due =
+                    this->scheduled.empty() ? tick : std::min(tick, this->scheduled.begin()->first);
             if (due > end) {
                 this->setTime(end);
                 return;
@@ -146,19 +148,19 @@
                 this->run(Tick {});
                 continue;
             }
-            const auto call = this->due.begin()->second;
-            this->due.erase(this->due.begin());
+            const auto call = this->scheduled.begin()->second;
+            this->scheduled.erase(this->scheduled.begin());
             call();
         }
     }
 
-    /// Calls `call` after `time`.
+    /// Schedules `call` to run after `time`.
     auto after(Duration time, std::function<void()> call) -> void
     {
-        this->due.emplace(this->board.now.mono + time, std::move(call));
+        this->scheduled.emplace(this->board.now.mono + time, std::move(call));
     }
 
-    /// Has a request of `row` come to admission.
+    /// Adds a request of `row` and admits it.
     auto arrive(const Row &row, const std::string &key = {}, Origin origin = Origin::Caller)
             -> ExchangeId
     {
@@ -187,7 +189,7 @@
         return this->board.exchanges.add(exchange).id;
     }
 
-    /// Reports on the dispatch of `exchange`.
+    /// Reports progress of the dispatch of `exchange` to the controllers.
     auto report(ExchangeId exchange, Progress progress, const std::string &whole = {},
                 std::optional<AnswerHead> head = {}) -> void
     {
@@ -201,7 +203,7 @@
         this->run(event);
     }
 
-    /// Reports the head of an answer.
+    /// Reports the head of an answer to `exchange`.
     auto head(ExchangeId exchange, int status, bool shed = false, Duration retryAfter = 0s) -> void
     {
         AnswerHead head;
@@ -217,7 +219,7 @@
         this->report(exchange, Progress::Answered, whole);
     }
 
-    /// Has each dispatch answered after `time`.
+    /// Answers each dispatch after `time`.
     auto serveIn(Duration time) -> void
     {
         this->onDispatch = [this, time](const Dispatch &dispatch) {
@@ -226,7 +228,7 @@
         };
     }
 
-    /// Makes a UUIDv7 that was born `age` ago.
+    /// Returns a UUIDv7 whose timestamp is `age` before now.
     auto keyBorn(Duration age) -> std::string
     {
         return makeUuidV7(this->board.random, this->board.now.wall - age);
@@ -247,7 +249,7 @@
         this->board.now.mono = time;
     }
 
-    auto take(const Action &action) -> void
+    auto handleAction(const Action &action) -> void
     {
         if (const auto *refuse = std::get_if<Refuse>(&action)) {
             this->refused[refuse->exchange] = refuse->refusal;
@@ -258,11 +260,11 @@
         } else if (const auto *message = std::get_if<SendPeer>(&action)) {
             this->messages.push_back(*message);
         } else if (const auto *dispatch = std::get_if<Dispatch>(&action)) {
-            this->takeDispatch(*dispatch);
+            this->recordDispatch(*dispatch);
         }
     }
 
-    auto takeDispatch(const Dispatch &dispatch) -> void
+    auto recordDispatch(const Dispatch &dispatch) -> void
     {
         this->sent[dispatch.exchange] = dispatch;
         this->order.push_back(dispatch.exchange);
@@ -275,11 +277,11 @@
         }
     }
 
-    UpstreamController upstream;
-    OutcomeController outcome;
-    KeyController key;
-    AdmissionController admission;
-    std::multimap<MonoTime, std::function<void()>> due;
+    UpstreamController upstreamController;
+    OutcomeController outcomeController;
+    KeyController keyController;
+    AdmissionController admissionController;
+    std::multimap<MonoTime, std::function<void()>> scheduled;
     MonoTime lastTick { 1000s };
     std::uint64_t lastExchange = 0;
 };
--- a/tests/unit/handovertest.cpp
+++ b/tests/unit/handovertest.cpp
@@ -1,5 +1,5 @@
-/// Planned changes of home under non-idempotent requests: none is refused `unknown`, none runs
-/// twice.
+/// Tests changes of home under non-idempotent requests with keys. Planned changes must not answer
+/// any request with the verdict `unknown`, and no change may run a request twice.
 #include "peerfleet.h"
 #include "sampletable.h"
 #include "virtualfleet.h"
@@ -14,13 +14,14 @@
 
 namespace {
 
-/// Votes with a key each, sent without pause to a fleet whose hosts come and go.
+/// Sends non-idempotent requests ("votes"), each with its own key, at a constant rate to a fleet
+/// whose hosts are stopped, killed and started.
 ///
 /// Each vote is sent three times through different hosts: at once, after 40 ms and after 700 ms.
-class VotedFleet
+class VotingFleet
 {
 public:
-    explicit VotedFleet(const std::map<std::size_t, Duration> &skews = {})
+    explicit VotingFleet(const std::map<std::size_t, Duration> &skews = {})
         : fleet({ { "a1", "a" },
                   { "a2", "a" },
                   { "a3", "a" },
@@ -33,8 +34,8 @@
         this->fleet.settle();
     }
 
-    /// Goes on for `time` with a new vote every 10 ms.
-    auto vote(Duration time) -> void
+    /// Sends a new vote every 10 ms for `time`.
+    auto sendVotes(Duration time) -> void
     {
         for (const auto end = this->fleet.now().mono + time; this->fleet.now().mono < end;) {
             const auto key = this->fleet.newKey();
@@ -46,50 +47,50 @@
         }
     }
 
-    /// Stops `host` in order, while votes go on.
+    /// Stops `host` gracefully while votes are being sent.
     auto stop(std::size_t host) -> void
     {
-        this->begin(host);
-        this->finish(host);
+        this->beginStop(host);
+        this->finishStop(host);
     }
-    /// Asks `host` to stop; callers connect elsewhere from now on.
-    auto begin(std::size_t host) -> void
+    /// Requests a graceful stop of `host`. Callers use other hosts from now on.
+    auto beginStop(std::size_t host) -> void
     {
-        this->away.insert(host);
+        this->avoided.insert(host);
         this->fleet.give(host, StopRequested {});
     }
-    /// Goes on until `host` has stopped.
-    auto finish(std::size_t host) -> void
+    /// Sends votes until `host` has stopped.
+    auto finishStop(std::size_t host) -> void
     {
         while (this->fleet.stopped.count(host) == 0) {
-            this->vote(50ms);
+            this->sendVotes(50ms);
         }
         CHECK(this->fleet.stopped.at(host).empty());
         this->fleet.kill(host);
     }
     auto kill(std::size_t host) -> void
     {
-        this->away.insert(host);
+        this->avoided.insert(host);
         this->killed.insert(host);
         this->fleet.kill(host);
     }
     auto start(std::size_t host) -> void
     {
-        this->away.erase(host);
+        this->avoided.erase(host);
         this->fleet.restart(host);
     }
 
-    /// Checks what came of every vote. @returns how many answers were `unknown`.
-    auto judge() -> std::size_t
+    /// Checks the outcome of every vote. @returns how many answers had the verdict `unknown`.
+    auto checkOutcomes() -> std::size_t
     {
-        this->vote(1s);
+        this->sendVotes(1s);
         this->fleet.advance(8s);
         std::size_t unknown = 0;
-        std::size_t unrun = 0;
+        std::size_t notRun = 0;
         for (const auto &[key, ids] : this->sent) {
             const auto runs = this->fleet.runsOf(key);
             CHECK(runs <= 1);
-            unrun += runs == 0 ? 1 : 0;
+            notRun += runs == 0 ? 1 : 0;
             for (const auto id : ids) {
                 const auto end = this->fleet.result(id);
                 const auto verdict = end.refusal ? end.refusal->verdict : Verdict::Run;
@@ -101,7 +102,7 @@
             }
         }
         UNSCOPED_INFO(this->sent.size()
-                      << " votes, " << this->fleet.runs.size() << " runs, " << unrun
+                      << " votes, " << this->fleet.runs.size() << " runs, " << notRun
                       << " votes not run, " << unknown << " answers unknown");
         return unknown;
     }
@@ -112,7 +113,7 @@
     auto send(const std::string &key, std::size_t seed) -> void
     {
         auto host = seed % 6;
-        while (this->away.count(host) != 0) {
+        while (this->avoided.count(host) != 0) {
             host = (host + 1) % 6;
         }
         this->sent[key].push_back(this->fleet.call(host, voteAddress, {}, key));
@@ -127,12 +128,13 @@
 
     std::vector<std::string> keys;
     std::map<std::string, std::vector<ExchangeId>> sent;
-    std::set<std::size_t> away;   ///< Hosts that callers do not connect to.
-    std::set<std::size_t> killed; ///< Hosts that were not stopped in order.
+    std::set<std::size_t> avoided; ///< Hosts to which no votes are sent.
+    std::set<std::size_t> killed;  ///< Hosts that were killed without a graceful stop.
 };
 
-/// Clocks that differ by as much as the bound allows, but for a moment's advance.
-auto skewsOf(bool skewed) -> std::map<std::size_t, Duration>
+/// Returns the clock skew of each host. If `skewed`, clocks differ by the largest allowed amount,
+/// less a margin for the advance of time within a step.
+auto clockSkews(bool skewed) -> std::map<std::size_t, Duration>
 {
     if (!skewed) {
         return {};
@@ -142,43 +144,44 @@
 
 } // namespace
 
-TEST_CASE("a planned replacement of every host makes no vote unknown", "[handover]")
+TEST_CASE("replacing every host by graceful stops answers no vote with unknown", "[handover]")
 {
-    VotedFleet fleet(skewsOf(GENERATE(false, true)));
-    fleet.vote(2s);
+    VotingFleet fleet(clockSkews(GENERATE(false, true)));
+    fleet.sendVotes(2s);
     for (std::size_t host = 0; host < 6; ++host) {
         fleet.stop(host);
         fleet.start(host);
-        fleet.vote(4s);
+        fleet.sendVotes(4s);
     }
-    CHECK(fleet.judge() == 0);
+    CHECK(fleet.checkOutcomes() == 0);
 }
 
-TEST_CASE("two planned stops in a row make no vote unknown", "[handover]")
+TEST_CASE("two consecutive graceful stops in a zone answer no vote with unknown", "[handover]")
 {
     const auto skewed = GENERATE(false, true);
     const auto first = GENERATE(0, 1, 2);
-    VotedFleet fleet(skewsOf(skewed));
-    fleet.vote(2s);
+    VotingFleet fleet(clockSkews(skewed));
+    fleet.sendVotes(2s);
     fleet.stop(static_cast<std::size_t>(first));
     fleet.stop(static_cast<std::size_t>((first + 1) % 3));
-    CHECK(fleet.judge() == 0);
+    CHECK(fleet.checkOutcomes() == 0);
 }
 
-TEST_CASE("two planned stops close upon each other make no vote unknown", "[handover]")
+TEST_CASE("two overlapping graceful stops in a zone answer no vote with unknown", "[handover]")
 {
-    const auto apart = GENERATE(60ms, 150ms, 400ms);
+    const auto interval = GENERATE(60ms, 150ms, 400ms);
     const auto first = GENERATE(0, 1, 2);
-    VotedFleet fleet;
-    fleet.vote(2s);
-    fleet.begin(static_cast<std::size_t>(first));
-    fleet.vote(apart);
+    VotingFleet fleet;
+    fleet.sendVotes(2s);
+    fleet.beginStop(static_cast<std::size_t>(first));
+    fleet.sendVotes(interval);
     fleet.stop(static_cast<std::size_t>((first + 1) % 3));
-    fleet.finish(static_cast<std::size_t>(first));
-    CHECK(fleet.judge() == 0);
+    fleet.finishStop(static_cast<std::size_t>(first));
+    CHECK(fleet.checkOutcomes() == 0);
 }
 
-TEST_CASE("a host that joins while another leaves makes no vote unknown", "[handover]")
+TEST_CASE("a host that joins while another stops gracefully answers no vote with unknown",
+          "[handover]")
 {
     const auto skewed = GENERATE(false, true);
     const auto joining = GENERATE(0, 1, 2);
@@ -186,55 +189,56 @@
     if (joining == leaving) {
         return;
     }
-    VotedFleet fleet(skewsOf(skewed));
-    fleet.vote(1s);
+    VotingFleet fleet(clockSkews(skewed));
+    fleet.sendVotes(1s);
     fleet.stop(static_cast<std::size_t>(joining));
-    fleet.vote(4s);
-    fleet.begin(static_cast<std::size_t>(leaving));
+    fleet.sendVotes(4s);
+    fleet.beginStop(static_cast<std::size_t>(leaving));
     fleet.start(static_cast<std::size_t>(joining));
-    fleet.finish(static_cast<std::size_t>(leaving));
-    CHECK(fleet.judge() == 0);
+    fleet.finishStop(static_cast<std::size_t>(leaving));
+    CHECK(fleet.checkOutcomes() == 0);
 }
 
-TEST_CASE("killed hosts hand nothing over and no vote runs twice", "[handover]")
+TEST_CASE("killed hosts hand over no keys: some votes get unknown, but none runs twice",
+          "[handover]")
 {
-    VotedFleet fleet(skewsOf(GENERATE(false, true)));
-    fleet.vote(2s);
+    VotingFleet fleet(clockSkews(GENERATE(false, true)));
+    fleet.sendVotes(2s);
     for (std::size_t host = 0; host < 6; ++host) {
         fleet.kill(host);
-        fleet.vote(4s);
+        fleet.sendVotes(4s);
         fleet.start(host);
-        fleet.vote(4s);
+        fleet.sendVotes(4s);
     }
-    CHECK(fleet.judge() > 0);
+    CHECK(fleet.checkOutcomes() > 0);
 }
 
-TEST_CASE("a home that is killed and at work again at once runs no vote twice", "[handover]")
+TEST_CASE("a home that is killed and restarted within 300 ms runs no vote twice", "[handover]")
 {
     const auto joining = GENERATE(0, 1, 2);
     const auto gap = GENERATE(1ms, 20ms, 300ms);
-    VotedFleet fleet;
-    fleet.vote(500ms);
+    VotingFleet fleet;
+    fleet.sendVotes(500ms);
     fleet.stop(static_cast<std::size_t>(joining));
-    fleet.vote(3s);
+    fleet.sendVotes(3s);
     fleet.start(static_cast<std::size_t>(joining));
-    fleet.vote(4s);
+    fleet.sendVotes(4s);
     fleet.kill(static_cast<std::size_t>(joining));
-    fleet.vote(gap);
+    fleet.sendVotes(gap);
     fleet.start(static_cast<std::size_t>(joining));
-    fleet.vote(2s);
-    fleet.judge();
+    fleet.sendVotes(2s);
+    fleet.checkOutcomes();
 }
 
-TEST_CASE("hosts that come, go, die and pause at random run no vote twice", "[handover]")
+TEST_CASE("random starts, stops, kills and pauses of hosts run no vote twice", "[handover]")
 {
     const auto seed = GENERATE(range<std::uint64_t>(1, 31));
     std::mt19937_64 random(seed);
-    VotedFleet fleet(skewsOf(seed % 2 == 0));
+    VotingFleet fleet(clockSkews(seed % 2 == 0));
     fleet.fleet.serviceTime = Duration(5ms + static_cast<int>(seed % 4) * 200ms);
     std::set<std::size_t> down;
     std::set<std::size_t> paused;
-    fleet.vote(1s);
+    fleet.sendVotes(1s);
     for (int step = 0; step < 25; ++step) {
         const auto host = static_cast<std::size_t>(random() % 6);
         const auto isUp = down.count(host) == 0 && paused.count(host) == 0;
@@ -250,56 +254,58 @@
         } else if (isUp && roll == 1 && down.insert(host).second) {
             fleet.kill(host);
         } else if (isUp && down.size() < 4 && down.insert(host).second) {
-            fleet.begin(host);
+            fleet.beginStop(host);
         }
         if (down.size() + paused.size() > 4) {
             for (const auto other : std::exchange(paused, {})) {
                 fleet.fleet.resume(other);
             }
         }
-        fleet.vote(std::chrono::milliseconds(random() % 1500));
+        fleet.sendVotes(std::chrono::milliseconds(random() % 1500));
     }
     for (const auto other : paused) {
         fleet.fleet.resume(other);
     }
-    fleet.judge();
+    fleet.checkOutcomes();
 }
 
-TEST_CASE("a table that moves votes while a host joins lets none run twice", "[handover]")
+TEST_CASE("a table change that moves votes to another zone while a host joins runs none twice",
+          "[handover]")
 {
     const auto joining = GENERATE(0, 1, 2);
-    const auto apart = GENERATE(1ms, 200ms, 600ms, 1200ms);
+    const auto interval = GENERATE(1ms, 200ms, 600ms, 1200ms);
     const auto joinsFirst = GENERATE(false, true);
-    VotedFleet fleet;
-    fleet.vote(500ms);
+    VotingFleet fleet;
+    fleet.sendVotes(500ms);
     fleet.stop(static_cast<std::size_t>(joining));
-    fleet.vote(4s);
+    fleet.sendVotes(4s);
     const auto moved = rowsText() + upstreamText("pa1", "packs", "a", 1)
                        + upstreamText("pb1", "packs", "b", 11)
                        + upstreamText("pb2", "packs", "b", 12);
     for (const auto &text : { moved, sampleTable(), moved }) {
         if (joinsFirst) {
             fleet.start(static_cast<std::size_t>(joining));
-            fleet.vote(apart);
+            fleet.sendVotes(interval);
             fleet.fleet.publish(text);
         } else {
             fleet.fleet.publish(text);
-            fleet.vote(apart);
+            fleet.sendVotes(interval);
             fleet.start(static_cast<std::size_t>(joining));
         }
-        fleet.vote(3s);
+        fleet.sendVotes(3s);
         fleet.stop(static_cast<std::size_t>(joining));
     }
-    fleet.judge();
+    fleet.checkOutcomes();
 }
 
 namespace {
 
-/// A host that was home of a cell and is asked for it while a request runs there.
-class AskedHome
+/// A host that is the home of a cell with one running request, and that gets claims to the cell
+/// from another host.
+class ClaimedHome
 {
 public:
-    AskedHome() : fleet(1)
+    ClaimedHome() : fleet(1)
     {
         this->fleet.publish(1, "first");
         for (const auto *name : { "a1", "a2", "a3" }) {
@@ -316,22 +322,23 @@
         this->board->cells.start(running);
     }
 
-    /// Has `claim` asked for. @returns the grant, if one is sent.
-    auto ask(std::uint64_t claim) -> std::optional<ClaimGrant>
+    /// Delivers a request of the claim with id `claim`. @returns the grant, if one is sent.
+    auto requestClaim(std::uint64_t claim) -> std::optional<ClaimGrant>
     {
         const auto zone = this->board->init.self.zone;
         ClaimRequest request { claim, { this->cell }, claim, this->board->membership.voters(zone) };
         this->board->outbox.clear();
-        this->grantor.requested(*this->board, this->own, this->claimant, request);
-        return this->grant();
+        this->grantor.handleRequest(*this->board, this->ownClaimant, this->claimant, request);
+        return this->sentGrant();
     }
-    /// Has time pass until the request that runs is waited for no more.
-    auto wait() -> std::optional<ClaimGrant>
+    /// Advances the clock by `config::handoverTimeout`, after which the running request no longer
+    /// delays the grant. @returns the grant, if one is sent.
+    auto waitForTimeout() -> std::optional<ClaimGrant>
     {
         this->board->now.mono += config::handoverTimeout;
         this->board->outbox.clear();
         this->grantor.advance(*this->board);
-        return this->grant();
+        return this->sentGrant();
     }
 
     const CellId cell = cellOf(ServiceId::ofName("pack"), ZoneId::ofName("a"));
@@ -339,7 +346,7 @@
     Grantor grantor;
 
 private:
-    auto grant() -> std::optional<ClaimGrant>
+    auto sentGrant() -> std::optional<ClaimGrant>
     {
         for (const auto &action : this->board->outbox) {
             const auto *sent = std::get_if<SendPeer>(&action);
@@ -353,42 +360,43 @@
 
     PeerFleet fleet;
     Row row;
-    Claimant own;
+    Claimant ownClaimant;
     Blackboard *board = nullptr;
 };
 
 } // namespace
 
-TEST_CASE("a home hands its knowledge over once, and not if it may not have been the last home",
+TEST_CASE("a former home hands over its keys unless another host may have been home since",
           "[handover]")
 {
-    AskedHome home;
-    REQUIRE_FALSE(home.ask(1));
-    SECTION("granted when the request was waited for")
+    ClaimedHome home;
+    REQUIRE_FALSE(home.requestClaim(1));
+    SECTION("the claim is granted after the timeout of the running request")
     {
-        const auto grant = home.wait();
+        const auto grant = home.waitForTimeout();
         REQUIRE(grant);
         CHECK(grant->held.size() == 1);
         CHECK(grant->knowledge.size() == 1);
-        CHECK(home.ask(1)->knowledge.size() == 1); // The same claim asks again.
-        CHECK(home.ask(2)->knowledge.empty());     // The first one may have been home.
+        CHECK(home.requestClaim(1)->knowledge.size() == 1); // The same claim, requested again.
+        CHECK(home.requestClaim(2)
+                      ->knowledge.empty()); // The first claimant may have become the home.
     }
-    SECTION("the claim is given up unbegun")
+    SECTION("the granted claim is released before its tenure begins")
     {
-        REQUIRE(home.wait());
-        home.grantor.released(home.claimant, { 1, { home.cell } });
-        CHECK(home.ask(2)->knowledge.size() == 1);
-        home.grantor.released(home.claimant, { 1, { home.cell } }); // Not the last one.
-        CHECK(home.ask(3)->knowledge.empty());
+        REQUIRE(home.waitForTimeout());
+        home.grantor.handleRelease(home.claimant, { 1, { home.cell } });
+        CHECK(home.requestClaim(2)->knowledge.size() == 1);
+        home.grantor.handleRelease(home.claimant, { 1, { home.cell } }); // Not the latest claim.
+        CHECK(home.requestClaim(3)->knowledge.empty());
     }
-    SECTION("paused, cut off or held to be dead meanwhile")
+    SECTION("the former home was paused, isolated or declared dead before the grant")
     {
-        home.grantor.disown();
-        const auto grant = home.wait();
+        home.grantor.clearLastHome();
+        const auto grant = home.waitForTimeout();
         REQUIRE(grant);
         CHECK(grant->held.empty());
         CHECK(grant->knowledge.empty());
-        home.grantor.released(home.claimant, { 1, { home.cell } });
-        CHECK(home.ask(2)->knowledge.empty());
+        home.grantor.handleRelease(home.claimant, { 1, { home.cell } });
+        CHECK(home.requestClaim(2)->knowledge.empty());
     }
 }
--- a/tests/unit/rendezvoustest.cpp
+++ b/tests/unit/rendezvoustest.cpp
@@ -1,4 +1,4 @@
-/// Shares and stability of the rendezvous hash, and the placement of keys.
+/// Tests the proportions and the stability of rendezvous hashing, and the placement of keys.
 #include "core/rendezvous.h"
 #include "core/keys/idempotencykey.h"
 #include "core/keys/keyplacement.h"
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("nodes get keys in proportion to their weight")
+TEST_CASE("rendezvous hashing gives nodes keys in proportion to their weight")
 {
     const auto nodes = sampleNodes();
     std::vector<std::size_t> counts(nodes.size());
@@ -39,16 +39,16 @@
     }
 }
 
-TEST_CASE("the order of nodes does not matter and a removed node moves only its own keys")
+TEST_CASE("rendezvous hashing ignores the node order and a removed node moves only its own keys")
 {
     const auto nodes = sampleNodes();
-    auto turned = nodes;
-    std::reverse(turned.begin(), turned.end());
+    auto reversed = nodes;
+    std::reverse(reversed.begin(), reversed.end());
     auto fewer = nodes;
     fewer.erase(fewer.begin() + 1);
     for (std::uint64_t key = 0; key < 10000; ++key) {
         const auto winner = nodes[rendezvousPick(key, nodes)].id;
-        CHECK(turned[rendezvousPick(key, turned)].id == winner);
+        CHECK(reversed[rendezvousPick(key, reversed)].id == winner);
         CHECK(nodes[rendezvousOrder(key, nodes).front()].id == winner);
         if (winner != nodes[1].id) {
             CHECK(fewer[rendezvousPick(key, fewer)].id == winner);
@@ -58,15 +58,16 @@
     CHECK(rendezvousPick(1, { { 7, 0 } }) == rendezvousNone);
 }
 
-TEST_CASE("ids are what they always were")
+TEST_CASE("hashes, cell ids and rendezvous scores keep their fixed values")
 {
-    // These cross the network: a change would split a fleet during its upgrade.
+    // Hosts exchange these values over the network. A change would make hosts of the old and the
+    // new release disagree during an upgrade of the fleet.
     CHECK(hashName("packs") == 0x6d3ae3b021ffc53cULL);
     CHECK(cellOf(ServiceId(1), ZoneId(2)).value() == 0x07ee86c281446befULL);
     CHECK(rendezvousScore(1, { 2, 1 }) == Approx(0.287827388));
 }
 
-TEST_CASE("keys are read and made")
+TEST_CASE("idempotency keys are generated, parsed and validated")
 {
     std::mt19937_64 random(1);
     const auto made = WallTime(std::chrono::milliseconds(1'800'000'000'123));
@@ -85,7 +86,7 @@
     CHECK_FALSE(isWellFormedKey(std::string(129, 'x')));
 }
 
-TEST_CASE("keys follow the slots of zones, and a key with a zone stays there until it drains")
+TEST_CASE("keys are spread by zone slots and a key naming a zone stays there until it drains")
 {
     auto text = rowsText() + upstreamText("pa1", "packs", "a", 1, "slots = 2\n")
                 + upstreamText("pb1", "packs", "b", 2, "slots = 6\n")
@@ -93,13 +94,13 @@
     const auto table = tableOf(text);
     const auto packs = ServiceId::ofName("packs");
     std::mt19937_64 random(3);
-    std::size_t inA = 0;
+    std::size_t keysInZoneA = 0;
     for (int i = 0; i < 10000; ++i) {
         const auto key = makeUuidV7(random, {});
-        inA += zoneOfKey(table, packs, key) == ZoneId::ofName("a") ? 1 : 0;
+        keysInZoneA += zoneOfKey(table, packs, key) == ZoneId::ofName("a") ? 1 : 0;
         CHECK(zoneOfKey(table, packs, "a." + key) == ZoneId::ofName("a"));
     }
-    CHECK(std::abs(static_cast<double>(inA) / 10000 - 0.25) < 0.018);
+    CHECK(std::abs(static_cast<double>(keysInZoneA) / 10000 - 0.25) < 0.018);
     const auto drained =
             tableOf(rowsText() + upstreamText("pa1", "packs", "a", 1, "state = \"draining\"\n")
                     + upstreamText("pb1", "packs", "b", 2) + upstreamText("ia1", "intake", "a", 3));
--- a/tests/unit/tenuretest.cpp
+++ b/tests/unit/tenuretest.cpp
@@ -1,4 +1,4 @@
-/// One home a cell, whatever happens to the hosts and links.
+/// Tests that each cell has at most one home under faults of hosts and links.
 #include "peerfleet.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,8 @@
 
 using namespace std::chrono_literals;
 
-/// Starts hosts `a1`, `a2`, `b1`, ... and waits until every cell has a home.
+/// Starts `hostsPerZone` hosts in each zone, named `a1`, `a2`, `b1`, ..., and waits until every
+/// cell has a home.
 auto startFleet(PeerFleet &fleet, int hostsPerZone) -> void
 {
     fleet.publish(1, "first");
@@ -20,12 +21,12 @@
     }
     const auto took = fleet.runUntil([&] { return fleet.isHomed(); }, 6s);
     REQUIRE(took);
-    INFO("homed after " << took->count() << " us");
+    INFO("every cell has a home after " << took->count() << " us");
     fleet.run(1s);
     REQUIRE(fleet.isHomed());
 }
 
-auto others(const PeerFleet &fleet, const std::string &zone) -> std::set<std::string>
+auto hostsOutside(const PeerFleet &fleet, const std::string &zone) -> std::set<std::string>
 {
     std::set<std::string> result;
     for (const auto &name : fleet.names()) {
@@ -38,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("a fleet finds its homes at the start", "[fleet]")
+TEST_CASE("every cell gets a home when a fleet starts", "[fleet]")
 {
     PeerFleet fleet(1);
     startFleet(fleet, 3);
@@ -46,7 +47,7 @@
     CHECK(fleet.board("a1").membership.aliveCount() == 9);
 }
 
-TEST_CASE("a killed home is replaced", "[fleet]")
+TEST_CASE("a killed home is replaced within 2 s and is home again after a restart", "[fleet]")
 {
     PeerFleet fleet(2);
     startFleet(fleet, 2);
@@ -62,7 +63,8 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("a frozen home is replaced and does not act when it wakes", "[fleet]")
+TEST_CASE("a frozen home is replaced within 4 s and does not act as home when it resumes",
+          "[fleet]")
 {
     PeerFleet fleet(3);
     startFleet(fleet, 2);
@@ -77,13 +79,13 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("a cut-off zone goes on as home of its own cells", "[fleet]")
+TEST_CASE("an isolated zone keeps homes for its own cells", "[fleet]")
 {
     const auto kind = GENERATE(LinkFault::Silent, LinkFault::Refuse);
     PeerFleet fleet(4);
     startFleet(fleet, 2);
     fleet.platformDown = { "a1", "a2" };
-    fleet.fault({ "a1", "a2" }, others(fleet, "a"), kind);
+    fleet.fault({ "a1", "a2" }, hostsOutside(fleet, "a"), kind);
     for (int i = 0; i < 100; ++i) {
         fleet.run(100ms);
         REQUIRE(fleet.isHomed());
@@ -103,11 +105,11 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("zones find each other after a cut that closed no connection", "[fleet]")
+TEST_CASE("zones see each other alive after a link fault that closed no connection", "[fleet]")
 {
     PeerFleet fleet(9);
     startFleet(fleet, 2);
-    fleet.fault({ "a1", "a2" }, others(fleet, "a"), LinkFault::Silent);
+    fleet.fault({ "a1", "a2" }, hostsOutside(fleet, "a"), LinkFault::Silent);
     REQUIRE(fleet.runUntil([&] { return fleet.stateAt("a1", "b1") == MemberState::Dead; },
                            config::silenceTimeout));
     fleet.heal();
@@ -117,7 +119,7 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("an isolated host gives up its cells before others take them", "[fleet]")
+TEST_CASE("an isolated host ends its tenures before other hosts become home", "[fleet]")
 {
     const auto kind = GENERATE(LinkFault::Silent, LinkFault::Refuse);
     const auto seed = GENERATE(range<std::uint64_t>(10, 20));
@@ -133,7 +135,8 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("a broken link between two hosts of a zone changes nothing", "[fleet]")
+TEST_CASE("a broken link between two hosts of a zone changes no home and makes no host dead",
+          "[fleet]")
 {
     const auto kind = GENERATE(LinkFault::Silent, LinkFault::Refuse);
     PeerFleet fleet(5);
@@ -147,7 +150,7 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("a leaving host hands its cells over and is forgotten", "[fleet]")
+TEST_CASE("a leaving host hands its cells over and they keep their home after it stops", "[fleet]")
 {
     PeerFleet fleet(6);
     startFleet(fleet, 2);
@@ -161,7 +164,7 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("a cell is granted once its requests are finished, or after a second", "[fleet]")
+TEST_CASE("a cell is granted once its running requests have finished, or after 1 s", "[fleet]")
 {
     const auto finishes = GENERATE(true, false);
     PeerFleet fleet(11);
@@ -189,7 +192,7 @@
     CHECK(fleet.homes("a") == std::vector { next });
     CHECK(fleet.board(next).tenure.formerHome(cell) == HostId::ofName(home));
 
-    // A new life of the home does not know what the last one ran, and is not sent to ask another.
+    // A restarted home does not know what it ran before, and has no former home to ask for it.
     fleet.kill(next);
     fleet.start(next);
     REQUIRE(fleet.runUntil([&] { return fleet.homes("a") == std::vector { next }; }, 3s));
@@ -197,7 +200,7 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("no two hosts are home of a cell under random faults", "[fleet]")
+TEST_CASE("a cell never has two homes under random faults", "[fleet]")
 {
     const auto seed = GENERATE(range<std::uint64_t>(100, 160));
     PeerFleet fleet(seed);
@@ -206,13 +209,14 @@
     const auto names = fleet.names();
     std::set<std::string> killed;
     std::set<std::string> frozen;
-    auto calm = true; // Cuts in a zone that refuse connections come alone: see FailureDetector.
+    auto faultFree = true; // Link faults that refuse connections within a zone are injected only
+                           // after a fault-free period: see FailureDetector.
     for (int step = 0; step < 60; ++step) {
         const auto &name = names[random() % names.size()];
-        const auto zoneKind = random() % 2 == 0 ? LinkFault::Silent : LinkFault::Refuse;
-        const auto kind = calm ? zoneKind : LinkFault::Silent;
+        const auto linkFault = random() % 2 == 0 ? LinkFault::Silent : LinkFault::Refuse;
+        const auto kind = faultFree ? linkFault : LinkFault::Silent;
         const auto pause = std::chrono::milliseconds(random() % 3000);
-        calm = false;
+        faultFree = false;
         switch (random() % 9) {
         case 0:
             if (frozen.count(name) == 0 && killed.insert(name).second) {
@@ -226,10 +230,10 @@
             break;
         case 2: {
             const auto zone = name.substr(0, 1);
-            const auto outside = others(fleet, zone);
+            const auto outside = hostsOutside(fleet, zone);
             for (const auto &inside : names) {
                 if (outside.count(inside) == 0) {
-                    fleet.fault({ inside }, outside, zoneKind);
+                    fleet.fault({ inside }, outside, linkFault);
                 }
             }
             break;
@@ -253,13 +257,13 @@
             }
             break;
         default:
-            calm = pause > 2s;
+            faultFree = pause > 2s;
             fleet.heal();
             for (const auto &down : std::exchange(killed, {})) {
                 fleet.start(down);
             }
-            for (const auto &still : std::exchange(frozen, {})) {
-                fleet.wake(still);
+            for (const auto &host : std::exchange(frozen, {})) {
+                fleet.wake(host);
             }
         }
         fleet.run(pause);
