--- a/src/core/keys/idempotencykey.cpp
+++ b/src/core/keys/idempotencykey.cpp
@@ -1,4 +1,4 @@
-/// Reads and makes idempotency keys.
+/// Parses and creates idempotency keys.
 #include "core/keys/idempotencykey.h"
 
 #include <flamingograde/config.h>
@@ -12,18 +12,18 @@
 namespace {
 
 constexpr std::size_t uuidLength = 36;
-constexpr std::size_t versionAt = 14;
-constexpr std::size_t variantAt = 19;
-constexpr std::array<std::size_t, 4> dashesAt { 8, 13, 18, 23 };
+constexpr std::size_t versionPosition = 14;
+constexpr std::size_t variantPosition = 19;
+constexpr std::array<std::size_t, 4> dashPositions { 8, 13, 18, 23 };
 constexpr std::uint64_t versionBits = 0x7000;
 constexpr std::uint64_t variantBits = 0x8000;
 
-auto isDashPlace(std::size_t at) -> bool
+auto isDashPosition(std::size_t position) -> bool
 {
-    return std::find(dashesAt.begin(), dashesAt.end(), at) != dashesAt.end();
+    return std::find(dashPositions.begin(), dashPositions.end(), position) != dashPositions.end();
 }
 
-/// Returns the value of a hexadecimal digit, or -1.
+/// Returns the value of a hexadecimal digit; -1 for any other character.
 auto hexDigit(char c) -> int
 {
     if (c >= '0' && c <= '9') {
@@ -37,21 +37,22 @@
 
 auto isUuidV7(std::string_view text) -> bool
 {
-    if (text.size() != uuidLength || text[versionAt] != '7') {
+    if (text.size() != uuidLength || text[versionPosition] != '7') {
         return false;
     }
-    if (hexDigit(text[variantAt]) >> 2 != 2) {
+    if (hexDigit(text[variantPosition]) >> 2 != 2) {
         return false;
     }
     for (std::size_t i = 0; i < text.size(); ++i) {
-        if (isDashPlace(i) ? text[i] != '-' : hexDigit(text[i]) < 0) {
+        if (isDashPosition(i) ? text[i] != '-' : hexDigit(text[i]) < 0) {
             return false;
         }
     }
     return true;
 }
 
-/// Returns the part of a key in which a UUID would stand: all, or what follows the last dot.
+/// Returns the part of a key that may be a UUID: what follows the last dot, or the whole key if it
+/// has no dot.
 auto uuidPartOf(std::string_view key) -> std::string_view
 {
     const auto dot = key.rfind('.');
@@ -73,8 +74,8 @@
         return std::nullopt;
     }
     std::int64_t milliseconds = 0;
-    for (std::size_t i = 0; i < versionAt; ++i) {
-        if (!isDashPlace(i)) {
+    for (std::size_t i = 0; i < versionPosition; ++i) {
+        if (!isDashPosition(i)) {
             milliseconds = milliseconds * 16 + hexDigit(uuid[i]);
         }
     }
--- a/src/core/keys/keycontroller.cpp
+++ b/src/core/keys/keycontroller.cpp
@@ -22,15 +22,16 @@
 
 auto refuseKey(Blackboard &board, Exchange &exchange, RefusalReason reason, Verdict verdict) -> void
 {
-    const auto pause =
+    const auto retryAfter =
             reason == RefusalReason::KeyRunning ? Duration(config::retryAfterMin) : Duration { 0 };
     board.log(LogEvent::KeyAnsweredUnknown, "key=" + exchange.key);
-    refuse(board, exchange, Refusal { reason, verdict, pause });
+    refuse(board, exchange, Refusal { reason, verdict, retryAfter });
 }
 
-/// Answers a repeat of a key that was run.
-auto answerRun(Blackboard &board, Exchange &exchange,
-               const std::shared_ptr<const std::string> &answer) -> void
+/// Answers a repeat of a key that was run: with the stored answer, or with a refusal if none is
+/// stored.
+auto answerCompleted(Blackboard &board, Exchange &exchange,
+                     const std::shared_ptr<const std::string> &answer) -> void
 {
     if (answer == nullptr) {
         refuseKey(board, exchange, RefusalReason::KeyUnknown, Verdict::Run);
@@ -42,7 +43,7 @@
     forget(board, exchange.id);
 }
 
-/// Ends the running key of `exchange` and answers the repeats that waited for it.
+/// Records the end of `exchange`, a first request, and answers the repeats that waited for it.
 auto finishKey(Blackboard &board, ExchangeId exchange, KeyState state,
                const std::shared_ptr<const std::string> &answer) -> void
 {
@@ -52,30 +53,32 @@
             continue;
         }
         if (state == KeyState::Done) {
-            answerRun(board, *repeat, answer);
+            answerCompleted(board, *repeat, answer);
         } else {
             refuseKey(board, *repeat, RefusalReason::KeyUnknown, Verdict::Unknown);
         }
     }
 }
 
-/// Returns what this host can tell another of a key.
-auto stateToTell(Blackboard &board, const KeyLookup &lookup) -> KeyState
+/// Returns the state of a key to report to another host. Reports `Unseen` only if this host was
+/// home of the cell and can no longer run the key.
+auto reportedState(Blackboard &board, const KeyLookup &lookup) -> KeyState
 {
     const auto state = board.keys.stateOf(lookup.cell, lookup.key);
     if (state != KeyState::Unseen) {
         return state;
     }
-    if (const auto told = board.keys.inherited({ lookup.cell, lookup.key })) {
-        return *told;
+    if (const auto inheritedState = board.keys.inherited({ lookup.cell, lookup.key })) {
+        return *inheritedState;
     }
-    const auto mayRunIt =
+    const auto mayDispatch =
             board.tenure.since(lookup.cell).has_value() || board.tenure.isClaiming(lookup.cell);
     const auto wasHome = board.keys.tenureOf(lookup.cell).has_value();
-    return mayRunIt || !wasHome ? KeyState::Unknown : KeyState::Unseen;
+    return mayDispatch || !wasHome ? KeyState::Unknown : KeyState::Unseen;
 }
 
-/// Has a request wait while this host claims its cell; gives it back otherwise.
+/// Parks a request while this host claims its cell, and gives it back otherwise. Refuses it if too
+/// many are parked.
 auto parkOrGiveBack(Blackboard &board, Exchange &exchange) -> void
 {
     if (!board.tenure.isClaiming(exchange.cell)) {
@@ -89,25 +92,27 @@
     board.keys.park(exchange.id);
 }
 
-/// Refuses a key for which the former home has no word, by what it handed over.
-auto refuseUnproved(Blackboard &board, Exchange &exchange) -> void
+/// Refuses a key about which no former home can be asked or none has answered. The verdict follows
+/// the state that the former home handed over, if any.
+auto refuseUnproven(Blackboard &board, Exchange &exchange) -> void
 {
-    const auto told = board.keys.inherited({ exchange.cell, exchange.key });
-    const auto verdict = told == KeyState::Done ? Verdict::Run : Verdict::Unknown;
+    const auto inheritedState = board.keys.inherited({ exchange.cell, exchange.key });
+    const auto verdict = inheritedState == KeyState::Done ? Verdict::Run : Verdict::Unknown;
     refuseKey(board, exchange, RefusalReason::KeyUnknown, verdict);
 }
 
-/// Takes a former home's failure to answer.
-auto onNoWord(Blackboard &board, const PendingLookup &lookup) -> void
+/// Refuses the request of a lookup that the former home did not answer.
+auto onLookupFailed(Blackboard &board, const PendingLookup &lookup) -> void
 {
     auto *exchange = board.exchanges.find(lookup.exchange);
     if (exchange != nullptr && exchange->stage == Stage::Looking) {
-        refuseUnproved(board, *exchange);
+        refuseUnproven(board, *exchange);
     }
 }
 
-/// Refuses what a former home knows to have been dispatched, and remembers it.
-auto refuseSeen(Blackboard &board, Exchange &exchange, KeyState state) -> void
+/// Refuses a key that a former home reports as dispatched. Records the state unless it is
+/// `Running`, so that later repeats need no lookup.
+auto refuseDispatched(Blackboard &board, Exchange &exchange, KeyState state) -> void
 {
     if (state == KeyState::Running) {
         refuseKey(board, exchange, RefusalReason::KeyRunning, Verdict::Unknown);
@@ -136,7 +141,7 @@
                        },
                        [&](const PeerDown &down) {
                            for (const auto &lookup : board.keys.takeLookupsTo(down.host)) {
-                               onNoWord(board, lookup);
+                               onLookupFailed(board, lookup);
                            }
                        },
                        [&](const Tick &) { this->onTick(board); },
@@ -148,16 +153,16 @@
 auto KeyController::settle(Blackboard &board) -> void
 {
     for (const auto id : board.keys.takeOrphans()) {
-        if (board.keys.recordOf(id) != nullptr) {
+        if (board.keys.findByFirst(id) != nullptr) {
             finishKey(board, id, KeyState::Unknown, nullptr);
         }
     }
-    auto list = board.keys.takeParked();
+    auto ids = board.keys.takeParked();
     const auto released = board.keys.takeReleased();
-    list.insert(list.end(), released.begin(), released.end());
+    ids.insert(ids.end(), released.begin(), released.end());
     const auto arrived = std::exchange(board.toAdmit, {});
-    list.insert(list.end(), arrived.begin(), arrived.end());
-    for (const auto id : list) {
+    ids.insert(ids.end(), arrived.begin(), arrived.end());
+    for (const auto id : ids) {
         auto *exchange = board.exchanges.find(id);
         if (exchange != nullptr) {
             this->admit(board, *exchange);
@@ -168,7 +173,7 @@
 
 auto KeyController::onProgress(Blackboard &board, const ExchangeProgress &event) -> void
 {
-    const auto *record = board.keys.recordOf(event.exchange);
+    const auto *record = board.keys.findByFirst(event.exchange);
     if (record == nullptr || record->state != KeyState::Running
         || record->attempt != event.attempt) {
         return;
@@ -196,7 +201,7 @@
 {
     KeyReport report;
     report.sequence = lookup.sequence;
-    report.state = stateToTell(board, lookup);
+    report.state = reportedState(board, lookup);
     const auto known = board.keys.tenureOf(lookup.cell).value_or(KnownFrom { board.now.wall, {} });
     report.tenureSinceUs = toMicroseconds(knownFromNow(board, lookup.cell, known).since);
     board.act(SendPeer { from, report });
@@ -212,16 +217,16 @@
     if (exchange == nullptr || exchange->stage != Stage::Looking) {
         return;
     }
-    const auto handedOver = board.keys.inherited({ exchange->cell, exchange->key });
+    const auto inheritedState = board.keys.inherited({ exchange->cell, exchange->key });
     const auto isUnknown = report.state == KeyState::Unknown;
-    const auto state = isUnknown ? handedOver.value_or(report.state) : report.state;
+    const auto state = isUnknown ? inheritedState.value_or(report.state) : report.state;
     if (state != KeyState::Unseen) {
-        refuseSeen(board, *exchange, state);
+        refuseDispatched(board, *exchange, state);
         return;
     }
     const auto known = board.tenure.knownFrom(exchange->cell).value_or(KnownFrom {});
-    const KnownFrom told { WallTime(Duration(report.tenureSinceUs)), known.tables };
-    if (!isProvedBy(board, *exchange, told)) {
+    const KnownFrom reported { WallTime(Duration(report.tenureSinceUs)), known.tables };
+    if (!isProvablyFreshGiven(board, *exchange, reported)) {
         refuseKey(board, *exchange, RefusalReason::KeyUnknown, Verdict::Unknown);
         return;
     }
@@ -234,10 +239,10 @@
     board.keys.expire(board.now.mono);
     for (const auto &lookup :
          board.keys.takeLookupsBefore(board.now.mono - config::keyLookupTimeout)) {
-        onNoWord(board, lookup);
+        onLookupFailed(board, lookup);
     }
     for (const auto &[cell, tenure] : board.tenure.all()) {
-        board.keys.noteTenure(cell, *board.tenure.knownFrom(cell));
+        board.keys.recordTenure(cell, *board.tenure.knownFrom(cell));
     }
 }
 
@@ -275,7 +280,7 @@
         board.keys.attach(name, exchange.id);
         return;
     case KeyState::Done:
-        answerRun(board, exchange, record.answer);
+        answerCompleted(board, exchange, record.answer);
         return;
     case KeyState::Unknown:
         refuseKey(board, exchange, RefusalReason::KeyUnknown, Verdict::Unknown);
@@ -290,7 +295,7 @@
         parkOrGiveBack(board, exchange);
         return;
     }
-    board.keys.noteTenure(exchange.cell, *known);
+    board.keys.recordTenure(exchange.cell, *known);
     if (!board.keys.inherited(name) && isProvablyFresh(board, exchange)) {
         board.keys.reserve(name, exchange.id);
         board.toQueue.push_back(exchange.id);
@@ -298,7 +303,7 @@
     }
     const auto former = board.tenure.formerHome(exchange.cell);
     if (!former.isValid() || former == board.init.self.id) {
-        refuseUnproved(board, exchange);
+        refuseUnproven(board, exchange);
         return;
     }
     board.keys.reserve(name, exchange.id);
--- a/src/core/keys/keycontroller.h
+++ b/src/core/keys/keycontroller.h
@@ -14,15 +14,18 @@
 struct KeyName;
 struct KeyRecord;
 
-/// Checks the keys of non-idempotent requests at their home and answers repeats.
+/// Checks the idempotency keys of non-idempotent requests at their home, and answers repeats of a
+/// key without running them.
 /// @remarks Not thread safe.
 class KeyController
 {
 public:
-    /// Takes the results of dispatched keys, former homes' words and their questions.
+    /// Handles the progress of dispatched requests, key lookups from other hosts, the reports of
+    /// former homes, the loss of a peer, and ticks.
     auto handle(Blackboard &board, const Event &event) -> void;
 
-    /// Checks what is in `board.toAdmit` and hands on to `board.toQueue` what may be run.
+    /// Checks the exchanges in `board.toAdmit` and moves those that may be run to `board.toQueue`.
+    /// Also checks again those that were parked or released.
     auto settle(Blackboard &board) -> void;
 
 private:
--- a/src/core/keys/keyfreshness.cpp
+++ b/src/core/keys/keyfreshness.cpp
@@ -1,4 +1,4 @@
-/// Whether a key that a home has not seen can have been run by anyone.
+/// Decides whether a key without a record at its home may have been run by any host.
 #include "core/keys/keyfreshness.h"
 
 #include "core/blackboard.h"
@@ -9,7 +9,9 @@
 
 namespace {
 
-/// Returns whether the key is newer than `from`, the time before which it may have been run.
+/// Returns whether the key cannot have been run before `from`, or any such run is past its
+/// lifetime. A key with a birth time must have been made after `from`. For a key without one,
+/// `from` and `evictedUntil` must be longer ago than the lifetime of a key.
 auto isNewerThan(const Blackboard &board, const Exchange &exchange, WallTime from,
                  WallTime evictedUntil) -> bool
 {
@@ -25,14 +27,15 @@
 auto isProvablyFresh(const Blackboard &board, const Exchange &exchange) -> bool
 {
     const auto known = board.tenure.knownFrom(exchange.cell);
-    return known.has_value() && isProvedBy(board, exchange, *known);
+    return known.has_value() && isProvablyFreshGiven(board, exchange, *known);
 }
 
-auto isProvedBy(const Blackboard &board, const Exchange &exchange, const KnownFrom &told) -> bool
+auto isProvablyFreshGiven(const Blackboard &board, const Exchange &exchange, const KnownFrom &known)
+        -> bool
 {
-    const auto placed = board.config.placements.find(
-            { exchange.service, exchange.key, exchange.keyBirth, board.now.wall, told.tables });
-    auto from = std::max(told.since, placed.since);
+    const auto placement = board.config.placements.find(
+            { exchange.service, exchange.key, exchange.keyBirth, board.now.wall, known.tables });
+    auto from = std::max(known.since, placement.since);
     if (exchange.keyBirth.has_value()) {
         from = std::max(from, board.keys.forgottenUntil(exchange.cell));
     }
@@ -47,8 +50,8 @@
         return { PlacementHistory::never, {} };
     }
     const auto service = board.table().upstreams()[upstreams.front()].service;
-    const auto placed = board.config.placements.movedSince(service, known.tables);
-    return { std::max(since, placed), board.config.revision };
+    const auto lastMove = board.config.placements.latestMove(service, known.tables);
+    return { std::max(since, lastMove), board.config.revision };
 }
 
 } // namespace flamingograde
--- a/src/core/keys/keyname.h
+++ b/src/core/keys/keyname.h
@@ -1,4 +1,4 @@
-/// The name under which a home remembers a key.
+/// An idempotency key qualified by its cell: the lookup key of `KeyRegistry`.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -9,7 +9,8 @@
 
 namespace flamingograde {
 
-/// An idempotency key in its cell. Two services may see the same key and mean two requests.
+/// An idempotency key and its cell. The cell is part of the name because two services may receive
+/// the same key for two different requests.
 struct KeyName
 {
     CellId cell;
@@ -28,7 +29,7 @@
 {
     auto operator()(const flamingograde::KeyName &name) const noexcept -> std::size_t
     {
-        constexpr std::size_t spread = 0x9E3779B97F4A7C15U;
-        return std::hash<std::string> {}(name.key) ^ (name.cell.value() * spread);
+        constexpr std::size_t goldenRatio = 0x9E3779B97F4A7C15U;
+        return std::hash<std::string> {}(name.key) ^ (name.cell.value() * goldenRatio);
     }
 };
--- a/src/core/keys/keyplacement.cpp
+++ b/src/core/keys/keyplacement.cpp
@@ -1,4 +1,4 @@
-/// Places idempotency keys in zones by weighted rendezvous.
+/// Places idempotency keys in zones by weighted rendezvous hashing.
 #include "core/keys/keyplacement.h"
 
 #include "core/keys/idempotencykey.h"
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Orders the active slots by service only.
-struct ServiceOrder
+/// Compares entries by service only, to find all zones of a service in a sorted list.
+struct CompareByService
 {
     auto operator()(const ZoneSlots &entry, ServiceId service) const -> bool
     {
@@ -43,15 +43,15 @@
 
 auto activeZones(const Table &table) -> std::vector<ZoneSlots>
 {
-    std::map<std::pair<ServiceId, ZoneId>, double> sums;
+    std::map<std::pair<ServiceId, ZoneId>, double> slotSums;
     for (const auto &upstream : table.upstreams()) {
         if (upstream.state == UpstreamState::Active) {
-            sums[{ upstream.service, upstream.zone }] += upstream.slots;
+            slotSums[{ upstream.service, upstream.zone }] += upstream.slots;
         }
     }
     std::vector<ZoneSlots> zones;
-    zones.reserve(sums.size());
-    for (const auto &[place, slots] : sums) {
+    zones.reserve(slotSums.size());
+    for (const auto &[place, slots] : slotSums) {
         zones.push_back({ place.first, place.second, slots });
     }
     return zones;
@@ -60,15 +60,15 @@
 auto isActive(const std::vector<ZoneSlots> &zones, ServiceId service, ZoneId zone) -> bool
 {
     const auto [first, last] =
-            std::equal_range(zones.begin(), zones.end(), service, ServiceOrder {});
+            std::equal_range(zones.begin(), zones.end(), service, CompareByService {});
     return std::any_of(first, last, [zone](const auto &entry) { return entry.zone == zone; });
 }
 
-auto placesAlike(const std::vector<ZoneSlots> &a, const std::vector<ZoneSlots> &b,
-                 ServiceId service) -> bool
+auto haveSamePlacement(const std::vector<ZoneSlots> &a, const std::vector<ZoneSlots> &b,
+                       ServiceId service) -> bool
 {
-    const auto [firstA, lastA] = std::equal_range(a.begin(), a.end(), service, ServiceOrder {});
-    const auto [firstB, lastB] = std::equal_range(b.begin(), b.end(), service, ServiceOrder {});
+    const auto [firstA, lastA] = std::equal_range(a.begin(), a.end(), service, CompareByService {});
+    const auto [firstB, lastB] = std::equal_range(b.begin(), b.end(), service, CompareByService {});
     return std::equal(firstA, lastA, firstB, lastB);
 }
 
@@ -80,7 +80,7 @@
         return ZoneId::ofName(zoneName);
     }
     const auto [first, last] =
-            std::equal_range(zones.begin(), zones.end(), service, ServiceOrder {});
+            std::equal_range(zones.begin(), zones.end(), service, CompareByService {});
     std::vector<RendezvousNode> nodes;
     nodes.reserve(static_cast<std::size_t>(last - first));
     std::transform(first, last, std::back_inserter(nodes), [](const auto &entry) {
--- a/src/core/keys/keyrecord.h
+++ b/src/core/keys/keyrecord.h
@@ -1,4 +1,4 @@
-/// What a home remembers of one key.
+/// What a home remembers about one idempotency key.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -12,16 +12,16 @@
 
 namespace flamingograde {
 
-/// A key's first request, its result and the repeats that wait for it.
+/// The first request of a key, its result and the repeats that wait for that result.
 struct KeyRecord
 {
-    KeyState state = KeyState::Unseen; ///< `Unseen` while the first request still waits here.
-    ExchangeId first;                  ///< The request that runs or will run.
-    std::uint32_t attempt = 0;         ///< Of the `Dispatch`.
-    WallTime dispatched;               ///< When it was dispatched; orders what is forgotten.
-    MonoTime expires;                  ///< When it may be forgotten.
-    std::vector<ExchangeId> attached;  ///< Repeats that wait for the first one's answer.
-    std::shared_ptr<const std::string> answer; ///< Null where none is kept.
+    KeyState state = KeyState::Unseen; ///< `Unseen` until the first request is dispatched.
+    ExchangeId first;          ///< The request that runs or will run; invalid once it ended.
+    std::uint32_t attempt = 0; ///< Attempt number of the `Dispatch`.
+    WallTime dispatched;       ///< Dispatch time; sets the order in which records are forgotten.
+    MonoTime expires;          ///< Earliest time at which the record may be forgotten.
+    std::vector<ExchangeId> attached;          ///< Repeats that wait for the answer of `first`.
+    std::shared_ptr<const std::string> answer; ///< The stored answer; null if none is stored.
 };
 
 } // namespace flamingograde
--- a/src/core/keys/keyregistry.cpp
+++ b/src/core/keys/keyregistry.cpp
@@ -1,4 +1,4 @@
-/// The keys that this host has run as a home.
+/// Records of the idempotency keys that this host has run as a home.
 #include "core/keys/keyregistry.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-auto raise(std::unordered_map<CellId, WallTime> &times, CellId cell, WallTime time) -> void
+auto raiseTime(std::unordered_map<CellId, WallTime> &times, CellId cell, WallTime time) -> void
 {
     auto &entry = times[cell];
     entry = std::max(entry, time);
@@ -20,7 +20,7 @@
     return found == times.end() ? WallTime {} : found->second;
 }
 
-auto wallTimeOf(const HandedKey &key) -> WallTime
+auto dispatchTimeOf(const HandedKey &key) -> WallTime
 {
     return WallTime(Duration(key.dispatchedUs));
 }
@@ -30,7 +30,7 @@
     return a.dispatchedUs != b.dispatchedUs ? a.dispatchedUs > b.dispatchedUs : a.hash < b.hash;
 }
 
-/// Moves the lookups that `matches` out of `lookups`.
+/// Removes the lookups for which `matches` returns true from `lookups`, and returns them.
 template<typename Predicate>
 auto takeLookups(std::map<std::uint64_t, PendingLookup> &lookups, Predicate matches)
         -> std::vector<PendingLookup>
@@ -61,7 +61,7 @@
     return found == this->records.end() ? nullptr : &found->second;
 }
 
-auto KeyRegistry::recordOf(ExchangeId exchange) -> KeyRecord *
+auto KeyRegistry::findByFirst(ExchangeId exchange) -> KeyRecord *
 {
     const auto name = this->names.find(exchange);
     if (name == this->names.end()) {
@@ -88,16 +88,17 @@
 auto KeyRegistry::dispatched(ExchangeId exchange, std::uint32_t attempt, Now now)
         -> std::vector<ExchangeId>
 {
-    auto *record = this->recordOf(exchange);
+    auto *record = this->findByFirst(exchange);
     if (record == nullptr) {
         return {};
     }
-    this->makeRoom();
+    this->evictExcess();
     record->state = KeyState::Running;
     record->attempt = attempt;
     record->dispatched = now.wall;
     record->expires = now.mono + config::keyLifetime;
-    this->aged.push_back({ this->names.at(exchange), record->dispatched, record->expires });
+    this->dispatchOrder.push_back(
+            { this->names.at(exchange), record->dispatched, record->expires });
     return record->attached;
 }
 
@@ -113,7 +114,7 @@
     }
     this->names.erase(exchange);
     record.first = ExchangeId();
-    this->keep(name, std::move(answer));
+    this->storeAnswer(name, std::move(answer));
     return waiting;
 }
 
@@ -167,55 +168,55 @@
 auto KeyRegistry::expire(MonoTime now) -> void
 {
     this->expireInherited(now);
-    while (!this->aged.empty() && this->aged.front().expires <= now) {
-        auto oldest = std::move(this->aged.front());
-        this->aged.pop_front();
+    while (!this->dispatchOrder.empty() && this->dispatchOrder.front().expires <= now) {
+        auto oldest = std::move(this->dispatchOrder.front());
+        this->dispatchOrder.pop_front();
         if (!this->isCurrent(oldest)) {
             continue;
         }
         if (this->records.at(oldest.name).state == KeyState::Running) {
             this->records.at(oldest.name).expires = now + config::keyLifetime;
             oldest.expires = now + config::keyLifetime;
-            this->aged.push_back(std::move(oldest));
+            this->dispatchOrder.push_back(std::move(oldest));
             continue;
         }
-        raise(this->forgotten, oldest.name.cell, oldest.dispatched);
+        raiseTime(this->forgottenTimes, oldest.name.cell, oldest.dispatched);
         this->erase(oldest.name);
     }
 }
 
 auto KeyRegistry::forgottenUntil(CellId cell) const -> WallTime
 {
-    return timeOf(this->forgotten, cell);
+    return timeOf(this->forgottenTimes, cell);
 }
 
 auto KeyRegistry::evictedUntil(CellId cell) const -> WallTime
 {
-    return timeOf(this->evicted, cell);
+    return timeOf(this->evictedTimes, cell);
 }
 
-auto KeyRegistry::handOver(CellId cell, WallTime after, std::size_t most,
+auto KeyRegistry::handOver(CellId cell, WallTime after, std::size_t limit,
                            WallTime &knownSince) const -> std::vector<HandedKey>
 {
     std::unordered_map<std::uint64_t, HandedKey> found;
-    const auto told = this->inheritedKeys.find(cell);
-    if (told != this->inheritedKeys.end()) {
-        for (const auto &[hash, key] : told->second.keys) {
-            if (wallTimeOf(key) > after) {
+    const auto ofCell = this->inheritedKeys.find(cell);
+    if (ofCell != this->inheritedKeys.end()) {
+        for (const auto &[hash, key] : ofCell->second.keys) {
+            if (dispatchTimeOf(key) > after) {
                 found.emplace(hash, key);
             } else {
-                knownSince = std::max(knownSince, wallTimeOf(key));
+                knownSince = std::max(knownSince, dispatchTimeOf(key));
             }
         }
     }
-    for (const auto &entry : this->aged) {
+    for (const auto &entry : this->dispatchOrder) {
         if (entry.name.cell != cell) {
             continue;
         }
         if (entry.dispatched <= after) {
             knownSince = std::max(knownSince, entry.dispatched);
         } else if (this->isCurrent(entry)) {
-            const auto key = this->handed(entry);
+            const auto key = this->toHandedKey(entry);
             found[key.hash] = key;
         }
     }
@@ -225,35 +226,35 @@
         keys.push_back(key);
     }
     std::sort(keys.begin(), keys.end(), isNewer);
-    if (keys.size() > most) {
-        knownSince = std::max(knownSince, wallTimeOf(keys[most]));
-        keys.resize(most);
+    if (keys.size() > limit) {
+        knownSince = std::max(knownSince, dispatchTimeOf(keys[limit]));
+        keys.resize(limit);
     }
     return keys;
 }
 
 auto KeyRegistry::inherit(CellId cell, const std::vector<HandedKey> &keys, MonoTime now) -> void
 {
-    InheritedKeys told;
-    told.expires = now + config::keyLifetime;
+    InheritedKeys newKeys;
+    newKeys.expires = now + config::keyLifetime;
     for (auto key : keys) {
         key.state = key.state == KeyState::Done ? KeyState::Done : KeyState::Unknown;
-        told.keys.emplace(key.hash, key);
+        newKeys.keys.emplace(key.hash, key);
     }
-    this->inheritedKeys[cell] = std::move(told);
+    this->inheritedKeys[cell] = std::move(newKeys);
 }
 
 auto KeyRegistry::inherited(const KeyName &name) const -> std::optional<KeyState>
 {
-    const auto told = this->inheritedKeys.find(name.cell);
-    if (told == this->inheritedKeys.end()) {
+    const auto ofCell = this->inheritedKeys.find(name.cell);
+    if (ofCell == this->inheritedKeys.end()) {
         return std::nullopt;
     }
-    const auto found = told->second.keys.find(hashName(name.key));
-    return found == told->second.keys.end() ? std::nullopt : std::optional(found->second.state);
+    const auto found = ofCell->second.keys.find(hashName(name.key));
+    return found == ofCell->second.keys.end() ? std::nullopt : std::optional(found->second.state);
 }
 
-auto KeyRegistry::noteTenure(CellId cell, const KnownFrom &known) -> void
+auto KeyRegistry::recordTenure(CellId cell, const KnownFrom &known) -> void
 {
     this->tenures[cell] = known;
 }
@@ -284,7 +285,7 @@
 
 auto KeyRegistry::takeLookupsBefore(MonoTime time) -> std::vector<PendingLookup>
 {
-    return takeLookups(this->lookups, [time](const auto &lookup) { return lookup.asked < time; });
+    return takeLookups(this->lookups, [time](const auto &lookup) { return lookup.sentAt < time; });
 }
 
 auto KeyRegistry::takeLookupsTo(HostId host) -> std::vector<PendingLookup>
@@ -300,28 +301,28 @@
             continue;
         }
         for (const auto &[hash, key] : entry->second.keys) {
-            raise(this->forgotten, entry->first, wallTimeOf(key));
+            raiseTime(this->forgottenTimes, entry->first, dispatchTimeOf(key));
         }
         entry = this->inheritedKeys.erase(entry);
     }
 }
 
-auto KeyRegistry::makeRoom() -> void
+auto KeyRegistry::evictExcess() -> void
 {
-    auto left = this->aged.size();
-    while (this->records.size() > this->keysMax && left > 0) {
-        --left;
-        auto oldest = std::move(this->aged.front());
-        this->aged.pop_front();
+    auto remaining = this->dispatchOrder.size();
+    while (this->records.size() > this->keysMax && remaining > 0) {
+        --remaining;
+        auto oldest = std::move(this->dispatchOrder.front());
+        this->dispatchOrder.pop_front();
         if (!this->isCurrent(oldest)) {
             continue;
         }
         if (this->records.at(oldest.name).state == KeyState::Running) {
-            this->aged.push_back(std::move(oldest));
+            this->dispatchOrder.push_back(std::move(oldest));
             continue;
         }
-        raise(this->forgotten, oldest.name.cell, oldest.dispatched);
-        raise(this->evicted, oldest.name.cell, oldest.dispatched);
+        raiseTime(this->forgottenTimes, oldest.name.cell, oldest.dispatched);
+        raiseTime(this->evictedTimes, oldest.name.cell, oldest.dispatched);
         this->erase(oldest.name);
     }
 }
@@ -332,17 +333,18 @@
     this->records.erase(name);
 }
 
-auto KeyRegistry::keep(const KeyName &name, std::shared_ptr<const std::string> answer) -> void
+auto KeyRegistry::storeAnswer(const KeyName &name, std::shared_ptr<const std::string> answer)
+        -> void
 {
     if (answer == nullptr || answer->size() > config::storedAnswerMax) {
         return;
     }
-    this->keptBytes += answer->size();
+    this->storedBytes += answer->size();
     this->records.at(name).answer = std::move(answer);
-    this->kept.push_back(name);
-    while (this->keptBytes > this->answerBytesMax) {
-        const auto oldest = std::move(this->kept.front());
-        this->kept.pop_front();
+    this->answerOrder.push_back(name);
+    while (this->storedBytes > this->answerBytesMax) {
+        const auto oldest = std::move(this->answerOrder.front());
+        this->answerOrder.pop_front();
         this->dropAnswer(oldest);
     }
 }
@@ -353,17 +355,17 @@
     if (record == nullptr || record->answer == nullptr) {
         return;
     }
-    this->keptBytes -= record->answer->size();
+    this->storedBytes -= record->answer->size();
     record->answer = nullptr;
 }
 
-auto KeyRegistry::handed(const Aged &entry) const -> HandedKey
+auto KeyRegistry::toHandedKey(const DispatchEntry &entry) const -> HandedKey
 {
     const auto state = this->records.at(entry.name).state;
     return { hashName(entry.name.key), state, entry.dispatched.time_since_epoch().count() };
 }
 
-auto KeyRegistry::isCurrent(const Aged &entry) const -> bool
+auto KeyRegistry::isCurrent(const DispatchEntry &entry) const -> bool
 {
     const auto found = this->records.find(entry.name);
     return found != this->records.end() && found->second.state != KeyState::Unseen
--- a/src/core/keys/keyregistry.h
+++ b/src/core/keys/keyregistry.h
@@ -1,4 +1,4 @@
-/// The keys that this host has run as a home.
+/// Records of the idempotency keys that this host has run as a home.
 #pragma once
 
 #include "core/homes/inheritedkeys.h"
@@ -26,10 +26,11 @@
 
 /// Remembers each dispatched key for `config::keyLifetime`, with its answer where it is small.
 ///
-/// What it forgets it remembers as a time: a key that may have been dispatched before that time is
-/// no longer known to be unseen.
-/// @remarks Written by the key controller, but for `dispatched` (the admission controller) and
-/// `remove`. Not thread safe.
+/// Of forgotten keys it only keeps, for each cell, the time of the latest dispatch: a key that may
+/// have been dispatched up to then can no longer be called unseen.
+/// @remarks Written by the key controller, with these exceptions: admission calls `dispatched`
+/// when it dispatches a request, and `takeReleased`; a host that becomes home calls `inherit`; and
+/// whoever removes an exchange calls `remove`. Not thread safe.
 class KeyRegistry
 {
 public:
@@ -39,83 +40,90 @@
         : keysMax(keyLimit), answerBytesMax(answerBytesLimit)
     {}
 
-    /// Returns what is known of `key`; `Unseen` where this host never dispatched it.
+    /// Returns the recorded state of `key`; `Unseen` if there is no record or if its first request
+    /// has not been dispatched yet.
     [[nodiscard]] auto stateOf(CellId cell, const std::string &key) const -> KeyState;
 
-    /// Returns the record, or null.
+    /// Returns the record of `name`, or null if there is none.
     [[nodiscard]] auto find(const KeyName &name) -> KeyRecord *;
-    /// Returns the record whose first request is `exchange`, or null.
-    [[nodiscard]] auto recordOf(ExchangeId exchange) -> KeyRecord *;
+    /// Returns the record whose first request is `exchange`, or null if there is none.
+    [[nodiscard]] auto findByFirst(ExchangeId exchange) -> KeyRecord *;
     /// Returns the number of records.
     [[nodiscard]] auto size() const -> std::size_t { return this->records.size(); }
-    /// Returns the bytes of all kept answers.
-    [[nodiscard]] auto answerBytes() const -> std::size_t { return this->keptBytes; }
+    /// Returns the total size of all stored answers, in bytes.
+    [[nodiscard]] auto answerBytes() const -> std::size_t { return this->storedBytes; }
 
-    /// Makes `exchange` the first request of `name`; it has not been dispatched yet.
+    /// Creates a record with `exchange`, which has not been dispatched yet, as the first request.
     /// Precondition: `name` has no record.
     auto reserve(const KeyName &name, ExchangeId exchange) -> void;
-    /// Lets `exchange` wait for the first request of `name`. Precondition: `name` has a record.
+    /// Adds `exchange` as a repeat that waits for the first request of `name`.
+    /// Precondition: `name` has a record.
     auto attach(const KeyName &name, ExchangeId exchange) -> void;
-    /// Notes that `exchange` is being dispatched.
-    /// @returns the repeats attached to it; empty also where it has no key on record.
+    /// Records that `exchange` is being dispatched.
+    /// @returns the repeats attached to it; empty if it is not the first request of a record.
     auto dispatched(ExchangeId exchange, std::uint32_t attempt, Now now) -> std::vector<ExchangeId>;
-    /// Ends the running request `exchange` with `state` and keeps `answer` if there is room.
-    /// @returns the repeats that waited for it. Precondition: it is the first of a record.
+    /// Ends the running request `exchange` with `state`. Stores `answer` unless it is null or too
+    /// large, and drops the oldest answers if there are too many bytes of them.
+    /// @returns the repeats that waited for it. Precondition: it is the first request of a record.
     auto finish(ExchangeId exchange, KeyState state, std::shared_ptr<const std::string> answer)
             -> std::vector<ExchangeId>;
-    /// Forgets the key of `exchange`, which was provably not run. Its repeats are released.
-    /// Precondition: it is the first of a record.
+    /// Deletes the record of the key of `exchange`, which was provably not run, and releases its
+    /// repeats. Precondition: it is the first request of a record.
     auto clear(ExchangeId exchange) -> void;
-    /// Lets go of an exchange that is removed. A running first one becomes an orphan until the key
-    /// controller says what came of it.
+    /// Drops the references to an exchange that is being removed. A first request that is running
+    /// becomes an orphan until the key controller ends its record.
     auto remove(ExchangeId exchange) -> void;
-    /// Returns the running first requests that were removed, and forgets the list.
+    /// Returns the first requests that were removed while running, and clears the list.
     [[nodiscard]] auto takeOrphans() -> std::vector<ExchangeId>;
-    /// Returns the repeats whose first request was not run, and forgets the list.
+    /// Returns the repeats whose first request was not run, and clears the list.
     [[nodiscard]] auto takeReleased() -> std::vector<ExchangeId>;
 
-    /// Sets `exchange` aside until it is known whether this host becomes home of its cell.
+    /// Holds `exchange` until it is known whether this host becomes home of its cell.
     auto park(ExchangeId exchange) -> void { this->parked.push_back(exchange); }
-    /// Returns the exchanges set aside, some of which may be gone, and forgets the list.
+    /// Returns the parked exchanges, some of which may no longer exist, and clears the list.
     [[nodiscard]] auto takeParked() -> std::vector<ExchangeId>;
-    /// Returns how many are set aside.
+    /// Returns the number of parked exchanges.
     [[nodiscard]] auto parkedCount() const -> std::size_t { return this->parked.size(); }
 
-    /// Forgets what is past its lifetime.
+    /// Forgets records and inherited keys past their lifetime. Running ones stay.
     auto expire(MonoTime now) -> void;
     /// Returns the wall time after which every dispatch of `cell` is still remembered; the epoch
-    /// if nothing was forgotten.
+    /// if none was forgotten.
     [[nodiscard]] auto forgottenUntil(CellId cell) const -> WallTime;
-    /// Returns the same without what was forgotten for its age alone.
+    /// Returns the same, but counts only records evicted for lack of room, not expired ones.
     [[nodiscard]] auto evictedUntil(CellId cell) const -> WallTime;
 
-    /// Returns the keys of `cell` dispatched after `after`, newest first, by this host or as it was
-    /// told. Raises `knownSince` to the dispatch of the newest one left out.
-    /// @param most the length of the list.
-    [[nodiscard]] auto handOver(CellId cell, WallTime after, std::size_t most,
+    /// Returns the keys of `cell` that were dispatched after `after`, newest first: those run by
+    /// this host and those it inherited. Raises `knownSince` to the dispatch time of the newest key
+    /// that is left out.
+    /// @param limit maximum number of keys returned.
+    [[nodiscard]] auto handOver(CellId cell, WallTime after, std::size_t limit,
                                 WallTime &knownSince) const -> std::vector<HandedKey>;
-    /// Remembers what the former home of `cell` handed over, in place of what one did before.
+    /// Stores the keys that the former home of `cell` handed over. Replaces those of an earlier
+    /// handover.
     auto inherit(CellId cell, const std::vector<HandedKey> &keys, MonoTime now) -> void;
-    /// Returns what a former home told of `name`: `Done`, `Unknown`, or nothing.
+    /// Returns the state in which a former home handed over `name`: `Done` or `Unknown`; nothing if
+    /// it did not hand it over.
     [[nodiscard]] auto inherited(const KeyName &name) const -> std::optional<KeyState>;
 
-    /// Notes that this host is home of `cell` and from when it knows every dispatch.
-    auto noteTenure(CellId cell, const KnownFrom &known) -> void;
-    /// Returns the same for the cell's present or last tenure of this host, or nothing.
+    /// Records that this host is home of `cell`, and from when it knows every dispatch there.
+    auto recordTenure(CellId cell, const KnownFrom &known) -> void;
+    /// Returns that knowledge for this host's current or last tenure of `cell`; nothing if it never
+    /// was its home.
     [[nodiscard]] auto tenureOf(CellId cell) const -> std::optional<KnownFrom>;
 
-    /// Notes a question and returns its sequence number.
+    /// Stores a lookup that is being sent, and returns its sequence number.
     auto addLookup(const PendingLookup &lookup) -> std::uint64_t;
-    /// Returns and forgets the question `sequence`, or nothing.
+    /// Removes and returns the lookup `sequence`; nothing if there is none.
     [[nodiscard]] auto takeLookup(std::uint64_t sequence) -> std::optional<PendingLookup>;
-    /// Returns and forgets the questions put before `time`.
+    /// Removes and returns the lookups sent before `time`.
     [[nodiscard]] auto takeLookupsBefore(MonoTime time) -> std::vector<PendingLookup>;
-    /// Returns and forgets the questions put to `host`.
+    /// Removes and returns the lookups sent to `host`.
     [[nodiscard]] auto takeLookupsTo(HostId host) -> std::vector<PendingLookup>;
 
 private:
-    /// A dispatched record in the order of dispatches.
-    struct Aged
+    /// An entry of the list of records in the order of their dispatches.
+    struct DispatchEntry
     {
         KeyName name;
         WallTime dispatched;
@@ -123,25 +131,25 @@
     };
 
     auto expireInherited(MonoTime now) -> void;
-    auto makeRoom() -> void;
+    auto evictExcess() -> void;
     auto erase(const KeyName &name) -> void;
-    auto keep(const KeyName &name, std::shared_ptr<const std::string> answer) -> void;
+    auto storeAnswer(const KeyName &name, std::shared_ptr<const std::string> answer) -> void;
     auto dropAnswer(const KeyName &name) -> void;
-    [[nodiscard]] auto handed(const Aged &entry) const -> HandedKey;
-    [[nodiscard]] auto isCurrent(const Aged &entry) const -> bool;
+    [[nodiscard]] auto toHandedKey(const DispatchEntry &entry) const -> HandedKey;
+    [[nodiscard]] auto isCurrent(const DispatchEntry &entry) const -> bool;
 
     std::size_t keysMax;
     std::size_t answerBytesMax;
     std::unordered_map<KeyName, KeyRecord> records;
-    std::unordered_map<ExchangeId, KeyName> names; ///< Of first requests and repeats.
-    std::deque<Aged> aged;
-    std::deque<KeyName> kept; ///< Records with an answer, oldest first.
-    std::size_t keptBytes = 0;
+    std::unordered_map<ExchangeId, KeyName> names; ///< By first requests and attached repeats.
+    std::deque<DispatchEntry> dispatchOrder;
+    std::deque<KeyName> answerOrder; ///< Records with a stored answer, oldest first.
+    std::size_t storedBytes = 0;
     std::vector<ExchangeId> orphans;
     std::vector<ExchangeId> released;
     std::vector<ExchangeId> parked;
-    std::unordered_map<CellId, WallTime> forgotten;
-    std::unordered_map<CellId, WallTime> evicted;
+    std::unordered_map<CellId, WallTime> forgottenTimes; ///< Latest dispatch forgotten.
+    std::unordered_map<CellId, WallTime> evictedTimes;   ///< Latest dispatch evicted.
     std::unordered_map<CellId, KnownFrom> tenures;
     std::unordered_map<CellId, InheritedKeys> inheritedKeys;
     std::map<std::uint64_t, PendingLookup> lookups;
--- a/src/core/keys/pendinglookup.h
+++ b/src/core/keys/pendinglookup.h
@@ -1,4 +1,4 @@
-/// A question put to a former home.
+/// A key lookup that was sent to a former home.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -6,12 +6,12 @@
 
 namespace flamingograde {
 
-/// A `KeyLookup` that waits for its `KeyReport`.
+/// A `KeyLookup` whose `KeyReport` has not arrived yet.
 struct PendingLookup
 {
-    ExchangeId exchange; ///< The request whose key is asked for.
-    HostId host;         ///< Who was asked.
-    MonoTime asked;
+    ExchangeId exchange; ///< The request whose key is looked up.
+    HostId host;         ///< The former home to which the lookup was sent.
+    MonoTime sentAt;
 };
 
 } // namespace flamingograde
--- a/src/core/keys/placementhistory.cpp
+++ b/src/core/keys/placementhistory.cpp
@@ -1,4 +1,4 @@
-/// Places keys by the tables of the time when they were made.
+/// Places keys by the tables that were in effect when the keys were made.
 #include "core/keys/placementhistory.h"
 
 #include "core/keys/keyplacement.h"
@@ -15,30 +15,31 @@
 
 using Placements = std::vector<TablePlacement>;
 
-/// Returns the birth from which keys are placed by `entry`.
-auto placedFrom(const TablePlacement &entry) -> WallTime
+/// Returns the birth time from which keys are placed by `entry`.
+auto effectiveFrom(const TablePlacement &entry) -> WallTime
 {
     return entry.published + config::placementDelay;
 }
 
-/// Forgets the oldest placement. What was moved by the next one is no longer known.
-auto dropFirst(Placements &list) -> void
+/// Removes the oldest placement. Which keys the next one moved is then no longer known, so the time
+/// of agreement of the next one is raised to the time when it took effect.
+auto dropOldest(Placements &list) -> void
 {
     list.erase(list.begin());
     auto &first = list.front();
     if (first.agreed) {
-        first.agreed = std::max(*first.agreed, placedFrom(first));
+        first.agreed = std::max(*first.agreed, effectiveFrom(first));
     }
 }
 
 auto dropExpired(Placements &list, WallTime now) -> void
 {
-    while (list.size() > 1 && placedFrom(list[1]) + config::keyLifetime < now) {
-        dropFirst(list);
+    while (list.size() > 1 && effectiveFrom(list[1]) + config::keyLifetime < now) {
+        dropOldest(list);
     }
 }
 
-/// Forgets the oldest ones where there are too many to hand to another host.
+/// Removes the oldest placements while there are too many to send to another host.
 auto dropExcess(Placements &list) -> void
 {
     std::size_t cells = 0;
@@ -48,30 +49,31 @@
     while (list.size() > 1
            && (list.size() > config::placementTablesMax || cells > config::placementCellsMax)) {
         cells -= list.front().zones.size();
-        dropFirst(list);
+        dropOldest(list);
     }
 }
 
-/// Returns both lists as one, by revision, with nothing agreed.
-auto unite(const Placements &ours, const Placements &others) -> Placements
+/// Merges both lists, sorted by revision, and clears all times of agreement. Of two publication
+/// times of a revision the earlier one is kept.
+auto mergeLists(const Placements &ours, const Placements &others) -> Placements
 {
-    std::map<Revision, TablePlacement> united;
+    std::map<Revision, TablePlacement> merged;
     for (const auto *list : { &ours, &others }) {
         for (const auto &entry : *list) {
-            auto &known = united.emplace(entry.revision, entry).first->second;
+            auto &known = merged.emplace(entry.revision, entry).first->second;
             known.published = std::min(known.published, entry.published);
             known.agreed.reset();
         }
     }
     Placements result;
-    for (auto &[revision, entry] : united) {
+    for (auto &[revision, entry] : merged) {
         result.push_back(std::move(entry));
     }
     return result;
 }
 
-/// Returns the entry at `index` of `list`, or null before the first.
-auto before(const Placements &list, std::size_t index) -> const TablePlacement *
+/// Returns the entry before `index` in `list`, or null if there is none.
+auto predecessorOf(const Placements &list, std::size_t index) -> const TablePlacement *
 {
     return index == 0 ? nullptr : &list[index - 1];
 }
@@ -84,21 +86,25 @@
     return a->revision == b->revision && a->published == b->published && a->zones == b->zones;
 }
 
-/// Takes over from `known` what was agreed there, where the same placement came before.
-auto takeAgreed(Placements &list, const Placements &known) -> void
+/// Copies times of agreement from `known` to the entries of `list` that are the same there and have
+/// the same predecessor.
+auto copyAgreed(Placements &list, const Placements &known) -> void
 {
-    std::size_t at = 0;
+    std::size_t knownIndex = 0;
     for (std::size_t i = 0; i < list.size(); ++i) {
-        while (at < known.size() && known[at].revision < list[i].revision) {
-            ++at;
+        while (knownIndex < known.size() && known[knownIndex].revision < list[i].revision) {
+            ++knownIndex;
         }
-        if (at == known.size()) {
+        if (knownIndex == known.size()) {
             return;
         }
-        const auto &word = known[at];
-        const auto holds = isSame(&list[i], &word) && isSame(before(list, i), before(known, at));
-        if (holds && word.agreed) {
-            list[i].agreed = std::min(list[i].agreed.value_or(*word.agreed), *word.agreed);
+        const auto &candidate = known[knownIndex];
+        const auto isUnchanged =
+                isSame(&list[i], &candidate)
+                && isSame(predecessorOf(list, i), predecessorOf(known, knownIndex));
+        if (isUnchanged && candidate.agreed) {
+            list[i].agreed =
+                    std::min(list[i].agreed.value_or(*candidate.agreed), *candidate.agreed);
         }
     }
 }
@@ -125,36 +131,36 @@
 
 } // namespace
 
-auto PlacementHistory::find(const KeyQuestion &question) const -> KeyPlacement
+auto PlacementHistory::find(const PlacementQuery &query) const -> KeyPlacement
 {
     if (this->list.empty()) {
         return { ZoneId(), never };
     }
     const auto newest = this->list.size() - 1;
-    const auto index = this->indexAt(question.birth.value_or(question.now));
-    auto placed = this->placeBy(index, question);
-    const auto &inForce = this->list[newest].zones;
-    if (index != newest && !isActive(inForce, question.service, placed.zone)) {
-        const auto moved = this->placeBy(newest, question);
-        if (question.birth && *question.birth > moved.since + this->clockBound) {
-            return moved;
+    const auto index = this->indexEffectiveAt(query.birth.value_or(query.now));
+    auto placement = this->placeByTable(index, query);
+    const auto &zonesInForce = this->list[newest].zones;
+    if (index != newest && !isActive(zonesInForce, query.service, placement.zone)) {
+        const auto current = this->placeByTable(newest, query);
+        if (query.birth && *query.birth > current.since + this->clockBound) {
+            return current;
         }
     }
-    if (this->mayHaveMoved(index, question.service, placed.zone)) {
-        placed.since = never;
+    if (this->mayHaveMoved(index, query.service, placement.zone)) {
+        placement.since = never;
     }
-    return placed;
+    return placement;
 }
 
-auto PlacementHistory::movedSince(ServiceId service, Revision told) const -> WallTime
+auto PlacementHistory::latestMove(ServiceId service, Revision coveredRevision) const -> WallTime
 {
     if (this->list.empty()) {
         return never;
     }
     const auto &first = this->list.front();
-    auto since = told < first.revision ? first.agreed.value_or(never) : WallTime();
+    auto since = coveredRevision < first.revision ? first.agreed.value_or(never) : WallTime();
     for (std::size_t i = 1; i < this->list.size(); ++i) {
-        if (!placesAlike(this->list[i - 1].zones, this->list[i].zones, service)) {
+        if (!haveSamePlacement(this->list[i - 1].zones, this->list[i].zones, service)) {
             since = std::max(since, this->list[i].agreed.value_or(never));
         }
     }
@@ -167,10 +173,10 @@
         return;
     }
     dropExpired(others, now);
-    auto united = unite(this->list, others);
-    takeAgreed(united, this->list);
-    takeAgreed(united, others);
-    this->list = std::move(united);
+    auto merged = mergeLists(this->list, others);
+    copyAgreed(merged, this->list);
+    copyAgreed(merged, others);
+    this->list = std::move(merged);
     dropExpired(this->list, now);
     dropExcess(this->list);
     this->hash = digestOf(this->list);
@@ -198,40 +204,43 @@
                        [](const auto &entry) { return entry.agreed.has_value(); });
 }
 
-auto PlacementHistory::indexAt(WallTime time) const -> std::size_t
+auto PlacementHistory::indexEffectiveAt(WallTime time) const -> std::size_t
 {
     auto index = this->list.size() - 1;
-    while (index > 0 && placedFrom(this->list[index]) > time) {
+    while (index > 0 && effectiveFrom(this->list[index]) > time) {
         --index;
     }
     return index;
 }
 
-/// Places a key by one table. It may have been run elsewhere before the last table that moved it
-/// was agreed; a key without a birth also until that table's placement began.
-auto PlacementHistory::placeBy(std::size_t index, const KeyQuestion &question) const -> KeyPlacement
+/// Places a key by the table at `index`. Until all hosts agreed on the last table that moved the
+/// key, it may have been run in another zone. A key without a birth time is placed by the current
+/// time, so it may have been run there also until that table took effect.
+auto PlacementHistory::placeByTable(std::size_t index, const PlacementQuery &query) const
+        -> KeyPlacement
 {
-    const auto zoneBy = [&](std::size_t at) {
-        return zoneOfKey(this->list[at].zones, question.service, question.key);
+    const auto zoneUnder = [&](std::size_t tableIndex) {
+        return zoneOfKey(this->list[tableIndex].zones, query.service, query.key);
     };
-    const auto zone = zoneBy(index);
-    while (index > 0 && zoneBy(index - 1) == zone) {
+    const auto zone = zoneUnder(index);
+    while (index > 0 && zoneUnder(index - 1) == zone) {
         --index;
     }
-    const auto &moving = this->list[index];
-    // What the oldest table moved was told by the former home, if all know no older one either.
-    const auto time = question.birth.value_or(question.now);
-    if (index == 0 && moving.agreed && !(question.told < moving.revision)
-        && time >= placedFrom(moving)) {
+    const auto &movingTable = this->list[index];
+    // The moves by the oldest known table are accounted for by the caller if `coveredRevision`
+    // includes that table and all hosts have agreed on it.
+    const auto time = query.birth.value_or(query.now);
+    if (index == 0 && movingTable.agreed && !(query.coveredRevision < movingTable.revision)
+        && time >= effectiveFrom(movingTable)) {
         return { zone, WallTime() };
     }
-    const auto agreed = moving.agreed.value_or(never);
-    const auto isSwitched = index > 0 && !question.birth;
-    return { zone, isSwitched ? std::max(agreed, placedFrom(moving)) : agreed };
+    const auto agreed = movingTable.agreed.value_or(never);
+    const auto isMovedWithoutBirth = index > 0 && !query.birth;
+    return { zone, isMovedWithoutBirth ? std::max(agreed, effectiveFrom(movingTable)) : agreed };
 }
 
-/// Returns whether a table after that at `index`, but before that in force, had no active upstream
-/// in `zone`, so that a key of it may have been run elsewhere.
+/// Returns whether a table between the one at `index` and the one in force had no active upstream
+/// of `service` in `zone`, so that a key of that zone may have been run in another one.
 auto PlacementHistory::mayHaveMoved(std::size_t index, ServiceId service, ZoneId zone) const -> bool
 {
     for (auto later = index + 1; later + 1 < this->list.size(); ++later) {
--- a/tests/unit/keymovetest.cpp
+++ b/tests/unit/keymovetest.cpp
@@ -1,4 +1,5 @@
-/// Edits that move idempotency keys to other zones: no key is run twice, and none is lost to them.
+/// Table edits that move idempotency keys to other zones: a key must not be run twice when its
+/// repeats reach hosts with different tables, and no request may be refused or lost because of it.
 #include "sampletable.h"
 #include "virtualfleet.h"
 
@@ -15,8 +16,10 @@
 
 constexpr std::size_t hostCount = 6;
 
-/// Returns a table with so many active and draining upstreams of "packs" in zones a, b and c.
-auto zonesTable(std::array<int, 3> active, std::array<int, 3> draining = { 0, 0, 0 }) -> std::string
+/// Returns the text of a table with the given numbers of active and draining upstreams of "packs"
+/// in zones a, b and c.
+auto zonesTableText(std::array<int, 3> active, std::array<int, 3> draining = { 0, 0, 0 })
+        -> std::string
 {
     auto text = rowsText("1", "deadline_ms = 3000\n");
     int number = 0;
@@ -31,29 +34,29 @@
     return text + upstreamText("ia1", "intake", "a", 100);
 }
 
-/// A key, when it was made and the callers that sent it.
+/// A request with an idempotency key, and its repeats.
 struct Vote
 {
     std::string key;
     MonoTime made;
-    std::vector<ExchangeId> calls;
+    std::vector<ExchangeId> calls; ///< The request and its repeats.
 };
 
-/// What came of the votes.
-struct Tally
+/// Counts of the outcomes of all votes.
+struct VoteCounts
 {
     std::size_t votes = 0;
-    std::size_t unknown = 0; ///< Callers refused with the verdict "unknown".
-    std::size_t notRun = 0;  ///< Votes that were not run at all.
-    std::size_t unended = 0; ///< Callers that heard nothing.
-    std::size_t doubleRuns = 0;
+    std::size_t unknown = 0;    ///< Calls refused with the verdict "unknown".
+    std::size_t notRun = 0;     ///< Votes that no upstream ran.
+    std::size_t unanswered = 0; ///< Calls that did not end exactly once.
+    std::size_t doubleRuns = 0; ///< Votes that were run more than once.
 };
 
-/// Sends votes with repeats through all hosts.
-class Voting
+/// Sends votes and their repeats through random hosts of a fleet.
+class VoteTraffic
 {
 public:
-    explicit Voting(std::uint64_t seed, std::string table)
+    explicit VoteTraffic(std::uint64_t seed, std::string table)
         : random(seed), fleet({ { "a1", "a" },
                                 { "a2", "a" },
                                 { "b1", "b" },
@@ -67,24 +70,25 @@
         }
     }
 
-    /// Lets the fleet start: keys are provably fresh from then on.
-    auto settle() -> void { this->fleet.advance(12s); }
+    /// Runs the fleet until new keys are provably fresh.
+    auto warmUp() -> void { this->fleet.advance(12s); }
 
-    /// Votes for `duration`; each vote is repeated up to 4 s later through another host.
-    auto vote(Duration duration) -> void
+    /// Sends votes for `duration`. Each is repeated once, up to 4 s later, through a random host.
+    auto voteFor(Duration duration) -> void
     {
         const auto end = this->fleet.now().mono + duration;
         while (this->fleet.now().mono < end) {
-            this->cast();
-            this->repeatDue();
+            this->sendVote();
+            this->sendDueRepeats();
             this->fleet.advance(10ms);
         }
     }
 
-    [[nodiscard]] auto tally() -> Tally
+    /// Waits for outstanding answers and counts the outcomes.
+    [[nodiscard]] auto countResults() -> VoteCounts
     {
         this->fleet.advance(5s);
-        Tally result;
+        VoteCounts result;
         for (const auto &vote : this->votes) {
             const auto runs = this->fleet.runsOf(vote.key);
             ++result.votes;
@@ -93,7 +97,7 @@
             for (const auto call : vote.calls) {
                 const auto end = this->fleet.result(call);
                 const auto isRefused = end.refusal.has_value();
-                result.unended += end.ends == 1 ? 0 : 1;
+                result.unanswered += end.ends == 1 ? 0 : 1;
                 result.unknown += isRefused && end.refusal->verdict == Verdict::Unknown ? 1 : 0;
             }
         }
@@ -105,7 +109,7 @@
     std::mt19937_64 random;
     VirtualFleet fleet;
     std::vector<Vote> votes;
-    std::set<std::size_t> out; ///< Hosts that take no votes.
+    std::set<std::size_t> excludedHosts; ///< Hosts through which no votes are sent.
 
 private:
     auto draw(std::uint64_t below) -> std::uint64_t { return this->random() % below; }
@@ -113,13 +117,13 @@
     auto drawHost() -> std::size_t
     {
         auto host = this->draw(hostCount);
-        while (this->out.count(host) > 0) {
+        while (this->excludedHosts.count(host) > 0) {
             host = this->draw(hostCount);
         }
         return host;
     }
 
-    auto cast() -> void
+    auto sendVote() -> void
     {
         const auto made = this->fleet.now().mono;
         const auto key = this->fleet.newKey();
@@ -129,7 +133,7 @@
         this->due.emplace(due, this->votes.size() - 1);
     }
 
-    auto repeatDue() -> void
+    auto sendDueRepeats() -> void
     {
         while (!this->due.empty() && this->due.begin()->first <= this->fleet.now().mono) {
             auto &vote = this->votes[this->due.begin()->second];
@@ -141,151 +145,153 @@
     std::multimap<MonoTime, std::size_t> due;
 };
 
-auto checkNoneHurt(const Tally &tally) -> void
+auto checkEachRunOnce(const VoteCounts &counts) -> void
 {
-    CHECK(tally.doubleRuns == 0);
-    CHECK(tally.unknown == 0);
-    CHECK(tally.unended == 0);
-    CHECK(tally.notRun == 0);
+    CHECK(counts.doubleRuns == 0);
+    CHECK(counts.unknown == 0);
+    CHECK(counts.unanswered == 0);
+    CHECK(counts.notRun == 0);
 }
 
 } // namespace
 
-TEST_CASE("a drained, an added and a removed upstream make no key unknown nor run it twice",
+TEST_CASE("draining, adding and removing upstreams makes no key unknown and runs none twice",
           "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         INFO("seed " << seed);
-        Voting voting(seed, zonesTable({ 4, 4, 4 }));
-        voting.settle();
-        voting.vote(2s);
-        voting.fleet.publish(zonesTable({ 2, 4, 4 }, { 2, 0, 0 }));
-        voting.vote(12s);
-        voting.fleet.publish(zonesTable({ 2, 4, 6 }, { 2, 0, 0 }));
-        voting.vote(12s);
-        voting.fleet.publish(zonesTable({ 2, 2, 6 }));
-        voting.vote(12s);
-        checkNoneHurt(voting.tally());
+        VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
+        traffic.warmUp();
+        traffic.voteFor(2s);
+        traffic.fleet.publish(zonesTableText({ 2, 4, 4 }, { 2, 0, 0 }));
+        traffic.voteFor(12s);
+        traffic.fleet.publish(zonesTableText({ 2, 4, 6 }, { 2, 0, 0 }));
+        traffic.voteFor(12s);
+        traffic.fleet.publish(zonesTableText({ 2, 2, 6 }));
+        traffic.voteFor(12s);
+        checkEachRunOnce(traffic.countResults());
     }
 }
 
-TEST_CASE("three edits within two seconds make no key unknown nor run it twice", "[keymove]")
+TEST_CASE("three table edits within two seconds make no key unknown and run none twice",
+          "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         INFO("seed " << seed);
-        Voting voting(seed, zonesTable({ 4, 4, 4 }));
-        voting.settle();
-        voting.vote(1s);
-        voting.fleet.publish(zonesTable({ 1, 4, 4 }, { 3, 0, 0 }));
-        voting.vote(900ms);
-        voting.fleet.publish(zonesTable({ 4, 1, 4 }, { 0, 3, 0 }));
-        voting.vote(900ms);
-        voting.fleet.publish(zonesTable({ 4, 4, 1 }, { 0, 0, 3 }));
-        voting.vote(16s);
-        checkNoneHurt(voting.tally());
+        VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
+        traffic.warmUp();
+        traffic.voteFor(1s);
+        traffic.fleet.publish(zonesTableText({ 1, 4, 4 }, { 3, 0, 0 }));
+        traffic.voteFor(900ms);
+        traffic.fleet.publish(zonesTableText({ 4, 1, 4 }, { 0, 3, 0 }));
+        traffic.voteFor(900ms);
+        traffic.fleet.publish(zonesTableText({ 4, 4, 1 }, { 0, 0, 3 }));
+        traffic.voteFor(16s);
+        checkEachRunOnce(traffic.countResults());
     }
 }
 
-TEST_CASE("a host that starts after an edit places keys as the others do", "[keymove]")
+TEST_CASE("a host that starts after a table edit places keys as the other hosts do", "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         INFO("seed " << seed);
-        Voting voting(seed, zonesTable({ 4, 4, 4 }));
-        voting.settle();
-        voting.vote(1s);
-        voting.fleet.publish(zonesTable({ 1, 4, 4 }, { 3, 0, 0 }));
-        voting.out = { 0, 1, 5 }; // Zone a and a host of c get no votes while host 5 starts.
-        voting.fleet.advance(4500ms);
-        voting.fleet.kill(5);
-        voting.fleet.advance(2s);
-        voting.fleet.restart(5);
-        voting.fleet.advance(1s);
-        voting.out.clear();
-        voting.vote(12s);
-        checkNoneHurt(voting.tally());
+        VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
+        traffic.warmUp();
+        traffic.voteFor(1s);
+        traffic.fleet.publish(zonesTableText({ 1, 4, 4 }, { 3, 0, 0 }));
+        // Host 5 restarts; neither it nor zone a gets votes meanwhile.
+        traffic.excludedHosts = { 0, 1, 5 };
+        traffic.fleet.advance(4500ms);
+        traffic.fleet.kill(5);
+        traffic.fleet.advance(2s);
+        traffic.fleet.restart(5);
+        traffic.fleet.advance(1s);
+        traffic.excludedHosts.clear();
+        traffic.voteFor(12s);
+        checkEachRunOnce(traffic.countResults());
     }
 }
 
-TEST_CASE("without times of publication edits still run no key twice nor make one unknown",
+TEST_CASE("table edits without publication times make no key unknown and run none twice",
           "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         INFO("seed " << seed);
-        Voting voting(seed, zonesTable({ 4, 4, 4 }));
-        voting.fleet.tellsPublished = false;
-        voting.settle();
-        voting.vote(2s);
-        voting.fleet.publish(zonesTable({ 1, 4, 6 }, { 3, 0, 0 }));
-        voting.vote(1s);
-        voting.fleet.publish(zonesTable({ 4, 1, 6 }, { 0, 3, 0 }));
-        voting.vote(20s);
-        checkNoneHurt(voting.tally());
+        VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
+        traffic.fleet.tellsPublished = false;
+        traffic.warmUp();
+        traffic.voteFor(2s);
+        traffic.fleet.publish(zonesTableText({ 1, 4, 6 }, { 3, 0, 0 }));
+        traffic.voteFor(1s);
+        traffic.fleet.publish(zonesTableText({ 4, 1, 6 }, { 0, 3, 0 }));
+        traffic.voteFor(20s);
+        checkEachRunOnce(traffic.countResults());
     }
 }
 
-TEST_CASE("a zone that is drained whole and comes back runs no key twice", "[keymove]")
+TEST_CASE("draining all upstreams of a zone and restoring them runs no key twice", "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         INFO("seed " << seed);
-        Voting voting(seed, zonesTable({ 4, 4, 4 }));
-        voting.settle();
-        voting.vote(2s);
-        voting.fleet.publish(zonesTable({ 0, 4, 4 }, { 4, 0, 0 }));
-        voting.vote(8s);
-        voting.fleet.publish(zonesTable({ 0, 4, 1 }, { 4, 0, 3 }));
-        voting.vote(8s);
-        voting.fleet.publish(zonesTable({ 4, 4, 4 }));
-        voting.vote(14s);
-        voting.fleet.publish(zonesTable({ 0, 4, 4 }));
-        voting.vote(14s);
-        const auto tally = voting.tally();
-        CHECK(tally.doubleRuns == 0);
-        CHECK(tally.unended == 0);
-        CHECK(tally.unknown + tally.notRun < tally.votes / 10);
+        VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
+        traffic.warmUp();
+        traffic.voteFor(2s);
+        traffic.fleet.publish(zonesTableText({ 0, 4, 4 }, { 4, 0, 0 }));
+        traffic.voteFor(8s);
+        traffic.fleet.publish(zonesTableText({ 0, 4, 1 }, { 4, 0, 3 }));
+        traffic.voteFor(8s);
+        traffic.fleet.publish(zonesTableText({ 4, 4, 4 }));
+        traffic.voteFor(14s);
+        traffic.fleet.publish(zonesTableText({ 0, 4, 4 }));
+        traffic.voteFor(14s);
+        const auto counts = traffic.countResults();
+        CHECK(counts.doubleRuns == 0);
+        CHECK(counts.unanswered == 0);
+        CHECK(counts.unknown + counts.notRun < counts.votes / 10);
     }
 }
 
-TEST_CASE("a zone that goes on alone with an old table makes no key run twice", "[keymove]")
+TEST_CASE("a partitioned zone that keeps serving with an old table runs no key twice", "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         INFO("seed " << seed);
-        Voting voting(seed, zonesTable({ 4, 4, 4 }));
-        voting.settle();
-        voting.fleet.split = { 0, 1 };
-        voting.fleet.blind = { 0, 1 };
-        voting.vote(1s);
-        voting.fleet.publish(zonesTable({ 1, 4, 4 }, { 3, 0, 0 }));
-        voting.vote(20s);
-        const auto before = voting.fleet.runs.size();
-        voting.fleet.publish(zonesTable({ 4, 1, 4 }, { 0, 3, 0 }));
-        voting.vote(20s);
-        const auto isAlone = [](const UpstreamRun &run) { return run.host < 2; };
-        const auto &runs = voting.fleet.runs;
-        const auto during = runs.begin() + static_cast<std::ptrdiff_t>(before);
-        CHECK(std::count_if(during, runs.end(), isAlone) > 100);
-        voting.fleet.split.clear();
-        voting.fleet.blind.clear();
-        voting.vote(10s);
-        CHECK(voting.tally().doubleRuns == 0);
+        VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
+        traffic.warmUp();
+        traffic.fleet.split = { 0, 1 };
+        traffic.fleet.blind = { 0, 1 };
+        traffic.voteFor(1s);
+        traffic.fleet.publish(zonesTableText({ 1, 4, 4 }, { 3, 0, 0 }));
+        traffic.voteFor(20s);
+        const auto before = traffic.fleet.runs.size();
+        traffic.fleet.publish(zonesTableText({ 4, 1, 4 }, { 0, 3, 0 }));
+        traffic.voteFor(20s);
+        const auto isInSplitZone = [](const UpstreamRun &run) { return run.host < 2; };
+        const auto &runs = traffic.fleet.runs;
+        const auto firstAfterEdit = runs.begin() + static_cast<std::ptrdiff_t>(before);
+        CHECK(std::count_if(firstAfterEdit, runs.end(), isInSplitZone) > 100);
+        traffic.fleet.split.clear();
+        traffic.fleet.blind.clear();
+        traffic.voteFor(10s);
+        CHECK(traffic.countResults().doubleRuns == 0);
     }
 }
 
-TEST_CASE("a host that is cut off with an old table makes no key run twice", "[keymove]")
+TEST_CASE("an isolated host with an old table runs no key twice", "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         INFO("seed " << seed);
-        Voting voting(seed, zonesTable({ 4, 4, 4 }));
-        voting.settle();
-        voting.fleet.mute = { 0 };
-        voting.fleet.blind = { 0 };
-        voting.vote(1s);
-        voting.fleet.publish(zonesTable({ 1, 4, 4 }, { 3, 0, 0 }));
-        voting.vote(20s);
-        voting.fleet.publish(zonesTable({ 4, 1, 4 }, { 0, 3, 0 }));
-        voting.vote(20s);
-        voting.fleet.mute.clear();
-        voting.fleet.blind.clear();
-        voting.vote(10s);
-        CHECK(voting.tally().doubleRuns == 0);
+        VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
+        traffic.warmUp();
+        traffic.fleet.mute = { 0 };
+        traffic.fleet.blind = { 0 };
+        traffic.voteFor(1s);
+        traffic.fleet.publish(zonesTableText({ 1, 4, 4 }, { 3, 0, 0 }));
+        traffic.voteFor(20s);
+        traffic.fleet.publish(zonesTableText({ 4, 1, 4 }, { 0, 3, 0 }));
+        traffic.voteFor(20s);
+        traffic.fleet.mute.clear();
+        traffic.fleet.blind.clear();
+        traffic.voteFor(10s);
+        CHECK(traffic.countResults().doubleRuns == 0);
     }
 }
--- a/tests/unit/keytest.cpp
+++ b/tests/unit/keytest.cpp
@@ -1,4 +1,5 @@
-/// Keys: each is run at most once, and what is said of it is true.
+/// Idempotency keys at their home: each key is run at most once, and the state or verdict reported
+/// for it is true.
 #include "cellhome.h"
 #include "core/keys/keyfreshness.h"
 
@@ -8,23 +9,24 @@
 
 namespace {
 
-/// A home with one row that is not idempotent and room for everything.
+/// A home with one non-idempotent row and an upstream with more slots than the tests need.
 struct KeyHome : CellHome
 {
     Row row;
 
     explicit KeyHome(Duration tenure = 1h)
     {
-        auto &made = this->addRow("votes");
-        made.idempotent = false;
-        made.deadline = 30s;
-        this->row = made;
+        auto &added = this->addRow("votes");
+        added.idempotent = false;
+        added.deadline = 30s;
+        this->row = added;
         this->addUpstream("a", 20);
         this->beginTenure(tenure);
         this->publish();
     }
 
-    auto knows(const std::string &text) const -> KeyState
+    /// Returns the state that the home has recorded for the key `text`.
+    auto stateOfKey(const std::string &text) const -> KeyState
     {
         return this->board.keys.stateOf(this->cell, text);
     }
@@ -34,19 +36,20 @@
         return this->isRefused(exchange, RefusalReason::KeyUnknown, Verdict::Unknown);
     }
 
-    /// The former home answers the last question put to it.
-    auto tell(KeyState state, Duration tenureAge) -> void
+    /// Delivers the former home's report on the last lookup: `state`, in a tenure that
+    /// began `tenureAge` ago.
+    auto deliverReport(KeyState state, Duration tenureAge) -> void
     {
-        const auto &question = std::get<KeyLookup>(this->messages.back().message);
+        const auto &lookup = std::get<KeyLookup>(this->messages.back().message);
         const auto since = this->board.now.wall - tenureAge;
-        this->run(PeerMessage { this->former, KeyReport { question.sequence, state,
+        this->run(PeerMessage { this->former, KeyReport { lookup.sequence, state,
                                                           since.time_since_epoch().count() } });
     }
 };
 
 } // namespace
 
-TEST_CASE("a repeat waits for the running request and learns of its end")
+TEST_CASE("a repeat waits for the running request and is answered when that ends")
 {
     KeyHome home;
     const auto key = home.keyBorn(10ms);
@@ -55,7 +58,7 @@
     REQUIRE(home.isSent(first));
     CHECK(home.sent.at(first).freshConnection);
     CHECK(home.sent.at(first).keepAnswer);
-    CHECK(home.knows(key) == KeyState::Running);
+    CHECK(home.stateOfKey(key) == KeyState::Running);
     const auto *whole = GENERATE("whole", "");
     home.answer(first, whole);
     const auto later = home.arrive(home.row, key);
@@ -70,7 +73,7 @@
     CHECK(home.board.exchanges.size() == 0);
 }
 
-TEST_CASE("a key is free again after its request was provably not run")
+TEST_CASE("a repeat is run after the first request was provably not run")
 {
     KeyHome home;
     const auto key = home.keyBorn(10ms);
@@ -85,27 +88,27 @@
         home.report(first, Progress::NotSent);
     }
     CHECK(home.refused.at(first).verdict == Verdict::NotRun);
-    REQUIRE(home.isSent(repeat)); // The repeat runs in its place.
+    REQUIRE(home.isSent(repeat)); // The repeat is run instead.
     home.answer(repeat, "whole");
-    CHECK(home.knows(key) == KeyState::Done);
+    CHECK(home.stateOfKey(key) == KeyState::Done);
 }
 
-TEST_CASE("a key whose request was lost or cut is never run again")
+TEST_CASE("a key whose request was lost, cut or timed out is not run again")
 {
     KeyHome home;
     const auto key = home.keyBorn(10ms);
     const auto first = home.arrive(home.row, key);
     const auto repeat = home.arrive(home.row, key);
-    SECTION("lost")
+    SECTION("no answer arrived")
     {
         home.report(first, Progress::Lost);
     }
-    SECTION("cut")
+    SECTION("the answer was cut off")
     {
         home.head(first, 200);
         home.report(first, Progress::Cut);
     }
-    SECTION("deadline passed")
+    SECTION("the deadline passed")
     {
         home.pass(31s);
         CHECK(home.isRefused(first, RefusalReason::DeadlineUnmet, Verdict::Unknown));
@@ -116,7 +119,7 @@
     CHECK(home.order.size() == 1);
 }
 
-TEST_CASE("a repeat takes the place of a first request that left its queue")
+TEST_CASE("a repeat is run when the caller of the queued first request leaves")
 {
     KeyHome home;
     home.upstreams[0].slots = 1;
@@ -125,14 +128,14 @@
     const auto key = home.keyBorn(10ms);
     const auto first = home.arrive(home.row, key);
     const auto repeat = home.arrive(home.row, key);
-    CHECK(home.knows(key) == KeyState::Unseen);
+    CHECK(home.stateOfKey(key) == KeyState::Unseen);
     home.run(CallerLeft { first });
     home.answer(running);
     CHECK(!home.isSent(first));
     CHECK(home.isSent(repeat));
 }
 
-TEST_CASE("a caller's leaving does not cancel a running key")
+TEST_CASE("a request with a key goes on running after its caller leaves")
 {
     KeyHome home;
     const auto key = home.keyBorn(10ms);
@@ -143,7 +146,7 @@
     CHECK(home.replayed.count(repeat) == 1);
 }
 
-TEST_CASE("a new home runs what is provably fresh, and nothing else")
+TEST_CASE("a new home without a former home runs only provably fresh keys")
 {
     KeyHome home(3s);
     home.board.tenure.forgetFormer(home.former);
@@ -159,7 +162,7 @@
     CHECK(home.isSent(id));
 }
 
-TEST_CASE("a key waits while its home claims the cell")
+TEST_CASE("a request with a key waits while its host claims the cell")
 {
     KeyHome home;
     home.board.tenure.end(home.cell);
@@ -168,11 +171,12 @@
     const auto second = home.arrive(home.row, home.keyBorn(-500ms));
     home.pass(500ms);
     CHECK(home.order.empty());
-    SECTION("tenure begins")
+    SECTION("the tenure begins")
     {
         home.beginTenure(0s);
         home.run(Tick {});
-        CHECK(home.messages.size() == 2); // Neither is provably newer than the tenure.
+        // Neither key is provably newer than the tenure, so both are looked up.
+        CHECK(home.messages.size() == 2);
     }
     SECTION("another host becomes home")
     {
@@ -182,7 +186,7 @@
     }
 }
 
-TEST_CASE("a key without a birth is run once every earlier run is past its lifetime")
+TEST_CASE("a key without a birth time is run when any earlier run is past its lifetime")
 {
     KeyHome home(config::keyLifetime + 2s);
     const auto first = home.arrive(home.row, "no-birth");
@@ -191,7 +195,7 @@
     CHECK(home.replayed.count(home.arrive(home.row, "no-birth")) == 1);
 }
 
-TEST_CASE("the former home's word decides on a key older than the tenure")
+TEST_CASE("the former home's report decides whether a key older than the tenure is run")
 {
     KeyHome home(1s);
     const auto key = home.keyBorn(5s);
@@ -199,41 +203,41 @@
     REQUIRE(home.messages.size() == 1);
     CHECK(home.messages[0].host == home.former);
     CHECK(!home.isSent(asked));
-    SECTION("never seen in a tenure that began before the key")
+    SECTION("unseen, and its tenure began before the key was made")
     {
-        home.tell(KeyState::Unseen, 1h);
+        home.deliverReport(KeyState::Unseen, 1h);
         CHECK(home.isSent(asked));
     }
-    SECTION("never seen, but the former home is too new itself")
+    SECTION("unseen, but its tenure began less than the clock bound before the key")
     {
-        home.tell(KeyState::Unseen, 5500ms);
+        home.deliverReport(KeyState::Unseen, 5500ms);
         CHECK(home.isUnknown(asked));
     }
-    SECTION("run there")
+    SECTION("done")
     {
-        home.tell(KeyState::Done, 1h);
+        home.deliverReport(KeyState::Done, 1h);
         CHECK(home.isRefused(asked, RefusalReason::KeyUnknown, Verdict::Run));
         home.arrive(home.row, key);
-        CHECK(home.messages.size() == 1); // Remembered.
+        CHECK(home.messages.size() == 1); // The reported state was recorded: no second lookup.
     }
-    SECTION("running there")
+    SECTION("running")
     {
-        home.tell(KeyState::Running, 1h);
+        home.deliverReport(KeyState::Running, 1h);
         CHECK(home.isRefused(asked, RefusalReason::KeyRunning, Verdict::Unknown));
     }
-    SECTION("no word")
+    SECTION("no report in time")
     {
         home.pass(config::keyLookupTimeout + 100ms);
         CHECK(home.isUnknown(asked));
     }
-    SECTION("the former home is lost")
+    SECTION("the connection to the former home is lost")
     {
         home.run(PeerDown { home.former, PeerLoss::Closed });
         CHECK(home.isUnknown(asked));
     }
 }
 
-TEST_CASE("a host tells what it knows of a key only once it can no longer run it")
+TEST_CASE("a host reports a key as unseen only once it was home and can no longer run the key")
 {
     KeyHome home;
     const auto key = home.keyBorn(10ms);
@@ -252,7 +256,7 @@
     CHECK(std::get<KeyReport>(home.messages.back().message).state == KeyState::Unknown);
 }
 
-TEST_CASE("a forgotten key is not run again")
+TEST_CASE("a key whose record has expired is not run again")
 {
     KeyHome home;
     const auto key = home.keyBorn(10ms);
@@ -264,7 +268,7 @@
     CHECK(home.isSent(home.arrive(home.row, home.keyBorn(10ms))));
 }
 
-TEST_CASE("the registry bounds its keys and its answers")
+TEST_CASE("the registry limits the number of keys and the bytes of stored answers")
 {
     KeyRegistry keys(3, 100);
     const CellId cell(1);
@@ -284,7 +288,8 @@
     CHECK(keys.forgottenUntil(cell) == WallTime(1007s));
 }
 
-TEST_CASE("a new home runs what is newer than the former home's knowledge, but nothing it was told")
+TEST_CASE(
+        "a new home runs keys newer than the former home's knowledge but none that was handed over")
 {
     KeyHome home(0s);
     home.board.tenure.forgetFormer(home.former);
@@ -301,12 +306,12 @@
     CHECK(home.isUnknown(home.arrive(home.row, home.keyBorn(2100ms))));
     CHECK(home.isRefused(home.arrive(home.row, done), RefusalReason::KeyUnknown, Verdict::Run));
     CHECK(home.isUnknown(home.arrive(home.row, lost)));
-    home.pass(config::keyLifetime + 1s); // Forgotten, but not run either.
+    home.pass(config::keyLifetime + 1s); // The inherited keys have expired, but are still not run.
     CHECK(home.isUnknown(home.arrive(home.row, done)));
     CHECK(home.order.size() == 1);
 }
 
-TEST_CASE("a key that was handed over is asked for where the former home lives")
+TEST_CASE("a key that was handed over is looked up at the former home if that is known")
 {
     KeyHome home(0s);
     const auto now = home.board.now;
@@ -317,29 +322,29 @@
     home.board.tenure.begin(home.cell, { now.wall, home.former, KnownFrom { now.wall - 3s, {} } });
     const auto asked = home.arrive(home.row, key);
     REQUIRE(home.messages.size() == 1);
-    SECTION("running there")
+    SECTION("running")
     {
-        home.tell(KeyState::Running, 1h);
+        home.deliverReport(KeyState::Running, 1h);
         CHECK(home.isRefused(asked, RefusalReason::KeyRunning, Verdict::Unknown));
     }
-    SECTION("not known there any more")
+    SECTION("unknown: the handed-over state decides")
     {
-        home.tell(KeyState::Unknown, 1h);
+        home.deliverReport(KeyState::Unknown, 1h);
         CHECK(home.isRefused(asked, RefusalReason::KeyUnknown, Verdict::Run));
     }
-    SECTION("proved there not to have been run")
+    SECTION("unseen")
     {
-        home.tell(KeyState::Unseen, 1h);
+        home.deliverReport(KeyState::Unseen, 1h);
         CHECK(home.isSent(asked));
     }
-    SECTION("no word")
+    SECTION("no report in time")
     {
         home.pass(config::keyLookupTimeout + 100ms);
         CHECK(home.isRefused(asked, RefusalReason::KeyUnknown, Verdict::Run));
     }
 }
 
-TEST_CASE("what is handed over is bounded, and says so by its time")
+TEST_CASE("a handover has a limited number of keys, and its time tells the newest one left out")
 {
     KeyRegistry keys;
     const CellId cell(1);
@@ -360,7 +365,7 @@
     CHECK(all.front().hash == hashName("10"));
     CHECK(all.front().state == KeyState::Running);
     CHECK(keys.handOver(cell, WallTime(1004s), 100, since).size() == 5);
-    CHECK(since == WallTime(1004s)); // The newest one left out.
+    CHECK(since == WallTime(1004s)); // Dispatch time of the newest key left out.
     CHECK(keys.handOver(cell, WallTime(1004s), 2, since).size() == 2);
     CHECK(since == WallTime(1007s));
 
@@ -377,32 +382,34 @@
     CHECK(next.forgottenUntil(cell) == WallTime(1010s));
 }
 
-TEST_CASE("a home tells knowledge from no earlier than a table that moved keys to its cell")
+TEST_CASE(
+        "a home reports knowledge from no earlier than the last table that moved keys to its cell")
 {
     KeyHome home;
     const auto now = home.board.now.wall;
     const KnownFrom atBegin { now - 1h, {} };
-    const auto told = [&](const KnownFrom &known) {
+    const auto reportedSince = [&](const KnownFrom &known) {
         return knownFromNow(home.board, home.cell, known).since;
     };
-    CHECK(told(atBegin) == now - 1h);
+    CHECK(reportedSince(atBegin) == now - 1h);
     CHECK(knownFromNow(home.board, home.cell, atBegin).tables == home.board.config.revision);
     const auto zones = activeZones(home.board.table());
     auto &placements = home.board.config.placements;
     placements = PlacementHistory(home.board.init.clockBound);
     placements.merge({ { { 5 }, now - 3s, zones, {} } }, now);
-    CHECK(told(atBegin) == PlacementHistory::never);
+    CHECK(reportedSince(atBegin) == PlacementHistory::never);
     placements.agree(now - 2s);
-    CHECK(told(atBegin) == now - 2s); // What held before this host's start is not known here,
-    CHECK(told({ now - 1h, { 4 } }) == now - 2s);
-    CHECK(told({ now - 1h, { 5 } }) == now - 1h); // but the former home knew it.
+    // Placements before the oldest table known here may differ, unless the former home knew them.
+    CHECK(reportedSince(atBegin) == now - 2s);
+    CHECK(reportedSince({ now - 1h, { 4 } }) == now - 2s);
+    CHECK(reportedSince({ now - 1h, { 5 } }) == now - 1h);
     placements.merge({ { { 6 }, now - 1s, zones, {} } }, now);
     placements.agree(now - 1s);
-    CHECK(told({ now - 1h, { 5 } }) == now - 1h); // No key was moved.
+    CHECK(reportedSince({ now - 1h, { 5 } }) == now - 1h); // Table 6 moves no key.
     auto other = zones;
     other.front().slots = 7;
     placements.merge({ { { 7 }, now - 600ms, other, {} } }, now);
-    CHECK(told({ now - 1h, { 7 } }) == PlacementHistory::never);
+    CHECK(reportedSince({ now - 1h, { 7 } }) == PlacementHistory::never);
     placements.agree(now - 500ms);
-    CHECK(told({ now - 1h, { 7 } }) == now - 500ms);
+    CHECK(reportedSince({ now - 1h, { 7 } }) == now - 500ms);
 }
--- a/tests/unit/placementhistorytest.cpp
+++ b/tests/unit/placementhistorytest.cpp
@@ -1,4 +1,4 @@
-/// Which table places a key, and when a move of keys may be believed.
+/// Which table places a key, and from when a key is known not to have been run in another zone.
 #include "core/keys/placementhistory.h"
 
 #include <flamingograde/config.h>
@@ -15,7 +15,7 @@
 const auto zoneB = ZoneId::ofName("b");
 const auto start = WallTime(1'700'000'000s);
 
-/// Returns the placement of a table that leads all keys to one zone.
+/// Returns the placement of a table that places all keys in one zone.
 auto onlyIn(ZoneId zone, std::uint64_t revision, Duration published,
             std::optional<Duration> agreed = {}) -> TablePlacement
 {
@@ -26,7 +26,8 @@
     return placement;
 }
 
-/// Returns the same with a little left in the other zone, where the key of `placeOf` never goes.
+/// Returns the same, but with so few slots in the other zone that the key of `placeOf` is not
+/// placed there: both zones are active.
 auto mostlyIn(ZoneId zone, std::uint64_t revision, Duration published,
               std::optional<Duration> agreed = {}) -> TablePlacement
 {
@@ -36,20 +37,22 @@
     return placement;
 }
 
+/// Returns the placement of the test's only key, made at `birth` and queried at `now`, both counted
+/// from `start`.
 auto placeOf(const PlacementHistory &history, std::optional<Duration> birth, Duration now = 60s)
         -> KeyPlacement
 {
     const std::string key = "k";
-    KeyQuestion question { service, key, {}, start + now };
+    PlacementQuery query { service, key, {}, start + now };
     if (birth) {
-        question.birth = start + *birth;
+        query.birth = start + *birth;
     }
-    return history.find(question);
+    return history.find(query);
 }
 
 } // namespace
 
-TEST_CASE("a key is placed by the newest table published long enough before its birth")
+TEST_CASE("a key is placed by the newest table that is older than it by the placement delay")
 {
     PlacementHistory history(config::clockBound);
     CHECK(placeOf(history, 0s).since == PlacementHistory::never);
@@ -65,23 +68,23 @@
     CHECK_FALSE(history.isAgreed());
     history.agree(start + 23s);
     CHECK(placeOf(history, 40s).since == start + 23s);
-    // A key without a birth is placed by the time of the question.
+    // A key without a birth time is placed by the time of the query.
     CHECK(placeOf(history, {}, 25s).zone == zoneA);
     CHECK(placeOf(history, {}, 60s).zone == zoneB);
     CHECK(placeOf(history, {}, 60s).since == start + 20s + config::placementDelay);
 }
 
-TEST_CASE("a placement that comes to light late is not agreed, and histories become equal")
+TEST_CASE("a placement learnt late is not agreed, and merged histories become equal")
 {
     PlacementHistory ours(config::clockBound);
     ours.merge({ mostlyIn(zoneA, 1, 0s), mostlyIn(zoneA, 3, 2s) }, start);
     ours.agree(start + 3s);
-    PlacementHistory others(config::clockBound);
-    others.merge({ mostlyIn(zoneB, 2, 1s), mostlyIn(zoneA, 3, 5s) }, start);
-    CHECK(ours.digest() != others.digest());
-    ours.merge(others.entries(), start + 6s);
-    others.merge(ours.entries(), start + 6s);
-    CHECK(ours.digest() == others.digest());
+    PlacementHistory theirs(config::clockBound);
+    theirs.merge({ mostlyIn(zoneB, 2, 1s), mostlyIn(zoneA, 3, 5s) }, start);
+    CHECK(ours.digest() != theirs.digest());
+    ours.merge(theirs.entries(), start + 6s);
+    theirs.merge(ours.entries(), start + 6s);
+    CHECK(ours.digest() == theirs.digest());
     REQUIRE(ours.entries().size() == 3);
     CHECK(ours.entries()[2].published == start + 2s);
     CHECK(placeOf(ours, 11s).zone == zoneB);
@@ -89,42 +92,42 @@
     CHECK(placeOf(ours, 12s).zone == zoneA);
     CHECK(placeOf(ours, 12s).since == PlacementHistory::never);
     CHECK(placeOf(ours, 10s).since == start + 3s);
-    // What the other host knew to be agreed holds here too, where it came in the same order.
-    CHECK(placeOf(others, 10s).since == start + 3s);
+    // The other host's time of agreement is taken over where the predecessor is the same.
+    CHECK(placeOf(theirs, 10s).since == start + 3s);
 }
 
-TEST_CASE("a host that starts takes over what others know")
+TEST_CASE("a host that starts takes over the placements and agreement times of other hosts")
 {
     PlacementHistory known(config::clockBound);
     known.merge({ mostlyIn(zoneA, 1, 0s), mostlyIn(zoneB, 2, 20s) }, start + 20s);
     known.agree(start + 22s);
-    PlacementHistory young(config::clockBound);
-    young.merge({ mostlyIn(zoneB, 2, 20s) }, start + 25s);
-    CHECK(placeOf(young, 24s).since == PlacementHistory::never);
-    young.merge(known.entries(), start + 25s);
-    CHECK(young.digest() == known.digest());
-    CHECK(placeOf(young, 24s).zone == zoneA);
-    CHECK(placeOf(young, 24s).since == start + 22s);
-    CHECK(placeOf(young, 40s).zone == zoneB);
-    CHECK(young.isAgreed());
+    PlacementHistory started(config::clockBound);
+    started.merge({ mostlyIn(zoneB, 2, 20s) }, start + 25s);
+    CHECK(placeOf(started, 24s).since == PlacementHistory::never);
+    started.merge(known.entries(), start + 25s);
+    CHECK(started.digest() == known.digest());
+    CHECK(placeOf(started, 24s).zone == zoneA);
+    CHECK(placeOf(started, 24s).since == start + 22s);
+    CHECK(placeOf(started, 40s).zone == zoneB);
+    CHECK(started.isAgreed());
 }
 
-TEST_CASE("a placement is forgotten when its keys are past their lifetime")
+TEST_CASE("a placement is forgotten when all keys placed by it are past their lifetime")
 {
     PlacementHistory history(config::clockBound);
     history.merge({ mostlyIn(zoneA, 1, 0s, 1s), mostlyIn(zoneB, 2, 20s) }, start);
     history.agree(start + 22s);
-    const auto over = start + 20s + config::placementDelay + config::keyLifetime;
-    history.expire(over);
+    const auto expiry = start + 20s + config::placementDelay + config::keyLifetime;
+    history.expire(expiry);
     CHECK(history.entries().size() == 2);
-    history.expire(over + 1us);
+    history.expire(expiry + 1us);
     REQUIRE(history.entries().size() == 1);
-    // A key that the forgotten table placed elsewhere is not taken for a fresh one.
+    // Keys made before table 2 took effect may have been run in zone a.
     CHECK(placeOf(history, 25s).zone == zoneB);
     CHECK(placeOf(history, 25s).since == start + 20s + config::placementDelay);
 }
 
-TEST_CASE("so many placements are kept as another host can be told")
+TEST_CASE("no more placements are kept than fit into a message to another host")
 {
     PlacementHistory history(config::clockBound);
     for (std::uint64_t revision = 1; revision <= config::placementTablesMax + 5; ++revision) {
@@ -138,7 +141,7 @@
     CHECK(history.entries().size() == 1);
 }
 
-TEST_CASE("keys of a zone that is drained whole go elsewhere once all hosts know of it")
+TEST_CASE("keys of a fully drained zone move to another zone once all hosts agree on the new table")
 {
     PlacementHistory history(config::clockBound);
     history.merge({ onlyIn(zoneA, 1, 0s) }, start);
@@ -149,7 +152,8 @@
     CHECK(placeOf(history, 22s).zone == zoneA);
     CHECK(placeOf(history, 22s + config::clockBound + 1us).zone == zoneB);
     CHECK(placeOf(history, 24s).since == start + 22s);
-    // When the zone is active again, its home cannot tell where the key was run meanwhile.
+    // After the zone is active again, its home cannot know whether the key was run elsewhere
+    // meanwhile.
     history.merge({ onlyIn(zoneA, 3, 26s) }, start + 26s);
     history.agree(start + 28s);
     CHECK(placeOf(history, 24s).zone == zoneA);
