--- a/src/core/feeds/feed.h
+++ b/src/core/feeds/feed.h
@@ -1,4 +1,4 @@
-/// One open feed in this host.
+/// State of one feed (a long-lived event stream) held by this host.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -8,26 +8,26 @@
 
 namespace flamingograde {
 
-/// How far a feed is.
+/// Stage of a feed on this host.
 enum class FeedStage : std::uint8_t {
-    Opening, ///< Sent to its upstream; the caller has no head yet.
-    Open,    ///< Events flow.
-    Waiting, ///< Lost its upstream connection; to be reopened.
-    Ending,  ///< The transport was told to end it.
+    Opening, ///< Being sent to its upstream; no response head yet.
+    Open,    ///< The upstream accepted it; events are forwarded to the caller.
+    Waiting, ///< Lost its upstream connection; reopened at `retryAt`.
+    Ending,  ///< `EndFeed` was sent to the transport; its completion is awaited.
 };
 
-/// A feed. Kept small: a host holds hundreds of thousands.
+/// Record of a feed. Kept small because a host holds hundreds of thousands of them.
 struct Feed
 {
     RowId row;
     UpstreamId upstream;
     FlowId flow;
-    MonoTime retryAt; ///< When to reopen, for `Waiting`.
+    MonoTime retryAt; ///< When to reopen it; valid only in stage `Waiting`.
     std::uint16_t attempt = 0;
-    std::uint16_t failures = 0; ///< Failed openings in a row.
+    std::uint16_t failures = 0; ///< Consecutive failed openings.
     FeedStage stage = FeedStage::Opening;
-    bool headPassed = false; ///< The caller has the answer's head.
-    bool fromToken = false;  ///< The upstream came from the caller's token.
+    bool headForwarded = false;     ///< The response head was forwarded to the caller.
+    bool upstreamFromToken = false; ///< `upstream` was taken from the caller's flow token.
 };
 
 } // namespace flamingograde
--- a/src/core/feeds/feedcontroller.cpp
+++ b/src/core/feeds/feedcontroller.cpp
@@ -14,19 +14,20 @@
 
 namespace {
 
-constexpr Duration noRetry { 0 };
+constexpr Duration noRetryAfter { 0 };
 constexpr int statusOk = 200;
 constexpr int firstServerError = 500;
 constexpr std::uint32_t backoffDoublings = 5;
 
-/// Returns the pause before the next opening after `failures` failed ones.
+/// Returns the delay before the next opening after `failures` consecutive failed openings.
 auto backoff(std::uint32_t failures) -> Duration
 {
     const auto doublings = std::min(failures, backoffDoublings);
     return std::min<Duration>(config::feedRetryMin * (1U << doublings), config::feedRetryMax);
 }
 
-/// Has the transport end a feed at an event's boundary; it reports the end with `Answered`.
+/// Tells the transport to end a feed between two events. The transport reports the end with
+/// `Progress::Answered`. Does nothing if the feed is already ending.
 auto endFeed(Blackboard &board, ExchangeId id, Feed &feed) -> void
 {
     if (feed.stage == FeedStage::Ending) {
@@ -37,23 +38,27 @@
     board.act(EndFeed { id });
 }
 
-/// Ends a feed whose caller has the head, refuses another.
+/// Ends the feed if its response head was forwarded to the caller; otherwise refuses it with
+/// `reason`. A stale token gets no Retry-After, because a retry with the same token fails
+/// again.
 auto endOrRefuse(Blackboard &board, ExchangeId id, Feed &feed, RefusalReason reason) -> void
 {
-    if (feed.headPassed) {
+    if (feed.headForwarded) {
         return endFeed(board, id, feed);
     }
-    const auto retryAfter = reason == RefusalReason::StaleToken ? noRetry : config::retryAfterMin;
-    refuseUnrun(board, id, reason, retryAfter);
+    const auto retryAfter =
+            reason == RefusalReason::StaleToken ? noRetryAfter : config::retryAfterMin;
+    refuseNotRun(board, id, reason, retryAfter);
 }
 
 /// Sends a feed to its upstream. Precondition: the upstream is in the table.
-auto openAt(Blackboard &board, ExchangeId id, Feed &feed, const Row &row, const Upstream &upstream)
-        -> void
+/// A feed whose head was already forwarded is sent as a reopening.
+auto sendToUpstream(Blackboard &board, ExchangeId id, Feed &feed, const Row &row,
+                    const Upstream &upstream) -> void
 {
     ++feed.attempt;
     feed.stage = FeedStage::Opening;
-    if (feed.headPassed) {
+    if (feed.headForwarded) {
         ++board.stats.feedsReopened;
         board.log(LogEvent::FeedReopened, "upstream=" + upstream.name);
     }
@@ -64,28 +69,29 @@
     action.address = upstream.address;
     action.service = upstream.serviceName;
     action.rowName = row.name;
-    action.reopen = feed.headPassed;
+    action.reopen = feed.headForwarded;
     board.act(std::move(action));
 }
 
-/// Returns whether a feed keeps its upstream whatever happens: its caller has events of it.
-auto isEstablished(const Feed &feed) -> bool
+/// Returns whether a feed must stay at its upstream, because its caller has received events from
+/// there: in this stream, or in the earlier one that set its token.
+auto isBoundToUpstream(const Feed &feed) -> bool
 {
-    return feed.headPassed || feed.fromToken;
+    return feed.headForwarded || feed.upstreamFromToken;
 }
 
-auto open(Blackboard &board, ExchangeId id, Feed &feed) -> void
+auto openFeed(Blackboard &board, ExchangeId id, Feed &feed) -> void
 {
     const auto &table = board.table();
     const auto *row = table.row(feed.row);
     if (row == nullptr) {
         return endOrRefuse(board, id, feed, RefusalReason::UnknownService);
     }
-    if (!isEstablished(feed)) {
+    if (!isBoundToUpstream(feed)) {
         const auto chosen = upstreamForFlow(board, row->service, feed.flow, feed.failures);
         board.feeds.moveTo(feed, chosen);
         if (!chosen.isValid()) {
-            return refuseUnrun(board, id, RefusalReason::NoUpstream, config::retryAfterMin);
+            return refuseNotRun(board, id, RefusalReason::NoUpstream, config::retryAfterMin);
         }
     }
     const auto *upstream = table.upstream(feed.upstream);
@@ -95,39 +101,44 @@
     if (board.config.isQuarantined(feed.upstream, board.now.mono)) {
         return endOrRefuse(board, id, feed, RefusalReason::NoUpstream);
     }
-    if (feed.fromToken && !feed.headPassed
+    if (feed.upstreamFromToken && !feed.headForwarded
         && board.feeds.countAt(feed.upstream) > upstream->connections) {
-        return refuseUnrun(board, id, RefusalReason::NoUpstream, config::retryAfterMin);
+        return refuseNotRun(board, id, RefusalReason::NoUpstream, config::retryAfterMin);
     }
-    openAt(board, id, feed, *row, *upstream);
+    sendToUpstream(board, id, feed, *row, *upstream);
 }
 
-/// Returns why a feed that cannot be opened is refused: a draining upstream does not come back, so
-/// its flow has to start anew.
-auto giveUpReason(const Blackboard &board, const Feed &feed) -> RefusalReason
+/// Returns the refusal reason for a feed whose opening attempts are used up: `StaleToken` for a
+/// draining upstream, which does not return, so that the caller starts a new flow; else
+/// `NoUpstream`.
+auto retriesExhaustedReason(const Blackboard &board, const Feed &feed) -> RefusalReason
 {
     const auto *upstream = board.table().upstream(feed.upstream);
-    const auto drains = upstream != nullptr && upstream->state == UpstreamState::Draining;
-    return drains ? RefusalReason::StaleToken : RefusalReason::NoUpstream;
+    const auto isDraining = upstream != nullptr && upstream->state == UpstreamState::Draining;
+    return isDraining ? RefusalReason::StaleToken : RefusalReason::NoUpstream;
 }
 
-/// Opens a feed again after a failed opening or a loss: an established one at its upstream after
-/// a pause, a new one at the next upstream.
-auto openAgain(Blackboard &board, ExchangeId id, Feed &feed) -> void
+/// Retries a feed after a failed opening or a lost connection. A feed bound to its upstream is
+/// reopened there after a backoff; any other feed is opened at the next preferred upstream at once.
+/// Ends or refuses the feed if its attempts are used up.
+auto retryOpening(Blackboard &board, ExchangeId id, Feed &feed) -> void
 {
     ++feed.failures;
-    const auto most = feed.headPassed ? config::feedReopenAttempts : config::feedOpenAttempts;
-    if (feed.failures > most) {
-        return endOrRefuse(board, id, feed, giveUpReason(board, feed));
+    const auto maxFailures =
+            feed.headForwarded ? config::feedReopenAttempts : config::feedOpenAttempts;
+    if (feed.failures > maxFailures) {
+        return endOrRefuse(board, id, feed, retriesExhaustedReason(board, feed));
     }
-    if (isEstablished(feed)) {
+    if (isBoundToUpstream(feed)) {
         return board.feeds.wait(id, feed, board.now.mono + backoff(feed.failures - 1));
     }
-    open(board, id, feed);
+    openFeed(board, id, feed);
 }
 
-/// Returns whether a head means that the upstream has not taken the feed.
-auto isRefusedBy(const AnswerHead &head, bool reopening) -> bool
+/// Returns whether a response head means that the upstream did not accept the feed. A new feed is
+/// refused by a 5xx status or a response that says that it was not run; other statuses are
+/// forwarded to the caller. A reopened feed accepts only 200.
+auto isOpeningRefused(const AnswerHead &head, bool reopening) -> bool
 {
     if (reopening) {
         return head.status != statusOk;
@@ -150,14 +161,14 @@
     if (feed.stage != FeedStage::Opening) {
         return;
     }
-    if (isRefusedBy(head, feed.headPassed)) {
+    if (isOpeningRefused(head, feed.headForwarded)) {
         board.act(Cancel { id });
-        return openAgain(board, id, feed);
+        return retryOpening(board, id, feed);
     }
     feed.stage = FeedStage::Open;
     feed.failures = 0;
-    if (!feed.headPassed) {
-        feed.headPassed = true;
+    if (!feed.headForwarded) {
+        feed.headForwarded = true;
         board.act(PassAnswer { id, tokenFor(board, feed) });
     }
 }
@@ -182,7 +193,7 @@
         return board.feeds.erase(report.exchange);
     }
     if (feed->stage != FeedStage::Waiting) {
-        openAgain(board, report.exchange, *feed);
+        retryOpening(board, report.exchange, *feed);
     }
 }
 
@@ -198,50 +209,51 @@
     board.feeds.erase(id);
 }
 
-/// Opens the feeds whose pause has ended.
-auto reopenDue(Blackboard &board) -> void
+/// Opens the waiting feeds whose retry time has come.
+auto openDueFeeds(Blackboard &board) -> void
 {
     for (const auto id : board.feeds.takeDue(board.now.mono)) {
         if (auto *feed = board.feeds.find(id)) {
-            open(board, id, *feed);
+            openFeed(board, id, *feed);
         }
     }
 }
 
-/// Ends the feeds whose upstream is no longer in the table.
-auto endOrphans(Blackboard &board) -> void
+/// Ends or refuses the feeds whose upstream is no longer in the table.
+auto endFeedsOfRemovedUpstreams(Blackboard &board) -> void
 {
-    std::vector<ExchangeId> orphans;
+    std::vector<ExchangeId> affected;
     for (const auto &[id, feed] : board.feeds.all()) {
         if (board.table().upstream(feed.upstream) == nullptr) {
-            orphans.push_back(id);
+            affected.push_back(id);
         }
     }
-    for (const auto id : orphans) {
+    for (const auto id : affected) {
         endOrRefuse(board, id, *board.feeds.find(id), RefusalReason::StaleToken);
     }
 }
 
-/// Returns how many feeds a stop ends now, so that all are ended in `config::feedMoveTime`.
-auto shareToEnd(const Blackboard &board, std::size_t left) -> std::size_t
+/// Returns how many of `remaining` feeds a stop ends at this tick. The feeds are spread evenly over
+/// the ticks left, so that all are ended within `config::feedMoveTime`.
+auto feedsToEndThisTick(const Blackboard &board, std::size_t remaining) -> std::size_t
 {
     const auto end = board.stop.since + config::leaveNotice + config::feedMoveTime;
     const auto ticks =
             std::max<Duration::rep>((end - board.now.mono) / Duration(config::tickPeriod), 1);
-    return (left + static_cast<std::size_t>(ticks) - 1) / static_cast<std::size_t>(ticks);
+    return (remaining + static_cast<std::size_t>(ticks) - 1) / static_cast<std::size_t>(ticks);
 }
 
-/// Ends a share of the feeds once this host takes no new ones.
-auto endForStop(Blackboard &board) -> void
+/// Ends the share of feeds due at this tick. Called once this host accepts no new feeds.
+auto endFeedsForStop(Blackboard &board) -> void
 {
-    std::vector<ExchangeId> left;
+    std::vector<ExchangeId> remaining;
     for (const auto &[id, feed] : board.feeds.all()) {
         if (feed.stage != FeedStage::Ending) {
-            left.push_back(id);
+            remaining.push_back(id);
         }
     }
-    left.resize(std::min(left.size(), shareToEnd(board, left.size())));
-    for (const auto id : left) {
+    remaining.resize(std::min(remaining.size(), feedsToEndThisTick(board, remaining.size())));
+    for (const auto id : remaining) {
         board.log(LogEvent::FeedMoved, "why=stop");
         endOrRefuse(board, id, *board.feeds.find(id), RefusalReason::Stopping);
     }
@@ -256,7 +268,7 @@
                        [&](const CallerLeft &left) { onCallerLeft(board, left.exchange); },
                        [&](const Tick &) {
                            if (board.stop.closed) {
-                               endForStop(board);
+                               endFeedsForStop(board);
                            }
                        },
                        [](const auto &) {},
@@ -264,13 +276,13 @@
                event);
     for (const auto id : std::exchange(board.toOpen, {})) {
         if (auto *feed = board.feeds.find(id)) {
-            open(board, id, *feed);
+            openFeed(board, id, *feed);
         }
     }
-    reopenDue(board);
-    if (this->seen != board.config.revision) {
-        this->seen = board.config.revision;
-        endOrphans(board);
+    openDueFeeds(board);
+    if (this->checkedRevision != board.config.revision) {
+        this->checkedRevision = board.config.revision;
+        endFeedsOfRemovedUpstreams(board);
     }
 }
 
--- a/src/core/feeds/feedcontroller.h
+++ b/src/core/feeds/feedcontroller.h
@@ -1,4 +1,4 @@
-/// Holds feeds open.
+/// Controller that opens, reopens and ends feeds.
 #pragma once
 
 #include <flamingograde/event.h>
@@ -8,18 +8,19 @@
 
 class Blackboard;
 
-/// Opens feeds, opens them again at the same upstream after a loss, and ends them at an event's
-/// boundary where their caller has to come back: at a stop of this host, or when their upstream
-/// has left the table.
+/// Opens feeds and reopens them at the same upstream after the connection is lost.
+///
+/// Ends a feed when its caller has to reconnect: when this host stops, or when the feed's upstream
+/// was removed from the table. The stream is ended between two events, never inside one.
 /// @remarks Not thread safe.
 class FeedController
 {
 public:
-    /// Takes one event. Precondition: none.
+    /// Handles one event. Precondition: none.
     auto handle(Blackboard &board, const Event &event) -> void;
 
 private:
-    Revision seen; ///< The table under which all feeds were last looked at.
+    Revision checkedRevision; ///< Table revision at which all feeds were last checked.
 };
 
 } // namespace flamingograde
--- a/src/core/feeds/feedplacement.cpp
+++ b/src/core/feeds/feedplacement.cpp
@@ -1,4 +1,5 @@
-/// Places feeds by weighted rendezvous of their flow, bounded by quotas.
+/// Places feeds by weighted rendezvous hashing of their flow id, bounded by a per-host quota at
+/// each upstream.
 #include "core/feeds/feedplacement.h"
 
 #include "core/blackboard.h"
@@ -11,8 +12,9 @@
 
 namespace {
 
-/// Returns how many feeds this host may hold at an upstream: its share, rounded up.
-auto quotaOf(const Blackboard &board, const Upstream &upstream) -> std::size_t
+/// Returns how many feeds this host may hold at an upstream: the upstream's connection limit
+/// divided by the number of live hosts, rounded up.
+auto hostQuota(const Blackboard &board, const Upstream &upstream) -> std::size_t
 {
     const auto hosts = std::max<std::size_t>(board.membership.aliveCount(), 1);
     return (upstream.connections + hosts - 1) / hosts;
@@ -20,7 +22,7 @@
 
 } // namespace
 
-auto upstreamForFlow(const Blackboard &board, ServiceId service, FlowId flow, std::size_t skip)
+auto upstreamForFlow(const Blackboard &board, ServiceId service, FlowId flow, std::size_t skipCount)
         -> UpstreamId
 {
     const auto &table = board.table();
@@ -30,15 +32,15 @@
     for (const auto index : indices) {
         const auto &upstream = table.upstreams()[index];
         const auto open = isOpenFor(board, upstream.id, service)
-                          && board.feeds.countAt(upstream.id) < quotaOf(board, upstream);
+                          && board.feeds.countAt(upstream.id) < hostQuota(board, upstream);
         nodes.push_back({ upstream.id.value(), open ? upstream.connections : 0.0 });
     }
-    if (skip == 0) {
+    if (skipCount == 0) {
         const auto winner = rendezvousPick(flow.value(), nodes);
         return winner == rendezvousNone ? UpstreamId() : UpstreamId(nodes[winner].id);
     }
     const auto order = rendezvousOrder(flow.value(), nodes);
-    return order.empty() ? UpstreamId() : UpstreamId(nodes[order[skip % order.size()]].id);
+    return order.empty() ? UpstreamId() : UpstreamId(nodes[order[skipCount % order.size()]].id);
 }
 
 } // namespace flamingograde
--- a/src/core/feeds/feedstore.cpp
+++ b/src/core/feeds/feedstore.cpp
@@ -1,4 +1,4 @@
-/// The feeds held, by id, by upstream and by the time at which they are to be opened again.
+/// Feeds indexed by id and by retry time, and counted by upstream.
 #include "core/feeds/feedstore.h"
 
 namespace flamingograde {
@@ -21,7 +21,7 @@
     if (found == this->byId.end()) {
         return;
     }
-    this->uncount(found->second.upstream);
+    this->decrementCount(found->second.upstream);
     this->byId.erase(found);
 }
 
@@ -33,7 +33,7 @@
 
 auto FeedStore::moveTo(Feed &feed, UpstreamId upstream) -> void
 {
-    this->uncount(feed.upstream);
+    this->decrementCount(feed.upstream);
     feed.upstream = upstream;
     ++this->byUpstream[upstream];
 }
@@ -42,24 +42,24 @@
 {
     feed.stage = FeedStage::Waiting;
     feed.retryAt = retryAt;
-    this->byRetry.emplace(retryAt, id);
+    this->byRetryTime.emplace(retryAt, id);
 }
 
 auto FeedStore::takeDue(MonoTime now) -> std::vector<ExchangeId>
 {
     std::vector<ExchangeId> due;
-    while (!this->byRetry.empty() && this->byRetry.begin()->first <= now) {
-        const auto entry = this->byRetry.begin();
+    while (!this->byRetryTime.empty() && this->byRetryTime.begin()->first <= now) {
+        const auto entry = this->byRetryTime.begin();
         const auto *feed = this->find(entry->second);
         if (feed != nullptr && feed->stage == FeedStage::Waiting && feed->retryAt == entry->first) {
             due.push_back(entry->second);
         }
-        this->byRetry.erase(entry);
+        this->byRetryTime.erase(entry);
     }
     return due;
 }
 
-auto FeedStore::uncount(UpstreamId upstream) -> void
+auto FeedStore::decrementCount(UpstreamId upstream) -> void
 {
     const auto count = this->byUpstream.find(upstream);
     if (count != this->byUpstream.end() && --count->second == 0) {
--- a/src/core/feeds/feedstore.h
+++ b/src/core/feeds/feedstore.h
@@ -1,4 +1,4 @@
-/// The feeds held by this host.
+/// Store of the feeds held by this host.
 #pragma once
 
 #include "core/feeds/feed.h"
@@ -14,24 +14,25 @@
 
 namespace flamingograde {
 
-/// Owns the feeds and counts them by upstream.
+/// Owns the feeds, counts them by upstream and queues the waiting ones by retry time.
 /// @remarks Not thread safe.
 class FeedStore
 {
 public:
-    /// Adds `feed`. Precondition: `id` is new.
+    /// Adds `feed`. Precondition: `id` is not stored yet.
     auto add(ExchangeId id, Feed feed) -> Feed &;
-    /// Returns the feed, or null.
+    /// Returns the feed, or null if it is not stored.
     [[nodiscard]] auto find(ExchangeId id) -> Feed *;
-    /// Removes the feed, if it is there.
+    /// Removes the feed, if it is stored.
     auto erase(ExchangeId id) -> void;
     /// Returns how many feeds this host holds at `upstream`.
     [[nodiscard]] auto countAt(UpstreamId upstream) const -> std::uint32_t;
-    /// Notes that `feed` goes to another upstream.
+    /// Assigns `feed` to `upstream` and updates the counts of both upstreams.
     auto moveTo(Feed &feed, UpstreamId upstream) -> void;
-    /// Makes `feed` wait until `retryAt`.
+    /// Sets `feed` to stage `Waiting` and queues it for `retryAt`.
     auto wait(ExchangeId id, Feed &feed, MonoTime retryAt) -> void;
-    /// Returns the waiting feeds whose time has come, each once.
+    /// Removes the waiting feeds whose retry time is at or before `now` from the queue and returns
+    /// them.
     [[nodiscard]] auto takeDue(MonoTime now) -> std::vector<ExchangeId>;
     [[nodiscard]] auto size() const -> std::size_t { return this->byId.size(); }
     [[nodiscard]] auto all() const -> const std::unordered_map<ExchangeId, Feed> &
@@ -40,11 +41,12 @@
     }
 
 private:
-    auto uncount(UpstreamId upstream) -> void;
+    auto decrementCount(UpstreamId upstream) -> void;
 
     std::unordered_map<ExchangeId, Feed> byId;
     std::unordered_map<UpstreamId, std::uint32_t> byUpstream;
-    std::multimap<MonoTime, ExchangeId> byRetry; ///< May name feeds that wait no longer.
+    std::multimap<MonoTime, ExchangeId>
+            byRetryTime; ///< May hold entries of feeds that no longer wait.
 };
 
 } // namespace flamingograde
--- a/src/core/requests/answermeaning.h
+++ b/src/core/requests/answermeaning.h
@@ -1,12 +1,12 @@
-/// What an upstream's answer says of the execution of its request.
+/// Interpretation of an upstream's response head: whether the upstream executed the request.
 #pragma once
 
 #include <flamingograde/event.h>
 
 namespace flamingograde {
 
-/// Returns whether an answer's head says that the upstream ran nothing: it shed the request, or it
-/// belongs to another service.
+/// Returns whether a response head states that the upstream did not execute the request: it shed
+/// the request, or it does not serve the request's service (status 421).
 /// @remarks Thread safe.
 [[nodiscard]] inline auto saysUnrun(const AnswerHead &head) -> bool
 {
@@ -14,8 +14,8 @@
     return head.shed || head.status == misdirected;
 }
 
-/// Returns whether an answer's head says that the deadline has passed. Whether the request was run
-/// is not known then.
+/// Returns whether a response head states that the deadline has passed (status 504). Whether the
+/// upstream executed the request is then unknown.
 /// @remarks Thread safe.
 [[nodiscard]] inline auto saysTooLate(const AnswerHead &head) -> bool
 {
--- a/src/core/requests/arrivalcontroller.cpp
+++ b/src/core/requests/arrivalcontroller.cpp
@@ -1,4 +1,4 @@
-/// Makes exchanges and feeds of arrivals, or refuses them as not run.
+/// Creates exchanges and feeds for arriving requests, or refuses the requests as not run.
 #include "core/requests/arrivalcontroller.h"
 
 #include "core/blackboard.h"
@@ -14,87 +14,89 @@
 
 namespace {
 
-constexpr Duration noRetry { 0 };
+constexpr Duration noRetryAfter { 0 };
 
-/// Why an arrival is refused.
-struct Objection
+/// Reason for refusing an arriving request, and the Retry-After to send with it.
+struct Rejection
 {
     RefusalReason reason;
     Duration retryAfter;
 };
 
-/// Returns why this host takes no arrivals from callers now, or nothing.
-auto objectionOfHost(const Blackboard &board) -> std::optional<Objection>
+/// Returns why this host accepts no requests from callers now: its stop is complete or it has no
+/// table yet. Returns nothing if it accepts them.
+auto checkHostState(const Blackboard &board) -> std::optional<Rejection>
 {
     if (board.stop.ready) {
-        return Objection { RefusalReason::Stopping, config::retryAfterMin };
+        return Rejection { RefusalReason::Stopping, config::retryAfterMin };
     }
     if (!board.config.revision.isValid()) {
-        return Objection { RefusalReason::NotReady, config::retryAfterMin };
+        return Rejection { RefusalReason::NotReady, config::retryAfterMin };
     }
     return std::nullopt;
 }
 
-/// Requests that come on connections from before the listeners closed are still served; feeds are
-/// not, as they would have to move at once.
-auto objectionOfStop(const Blackboard &board, const Row &row) -> std::optional<Objection>
+/// Rejects feeds once the listeners are closed, because a new feed would have to move to another
+/// host at once. Requests that arrive on connections accepted before that are still served.
+auto checkStopState(const Blackboard &board, const Row &row) -> std::optional<Rejection>
 {
     if (board.stop.closed && row.kind == RequestKind::Feed) {
-        return Objection { RefusalReason::Stopping, config::retryAfterMin };
+        return Rejection { RefusalReason::Stopping, config::retryAfterMin };
     }
     return std::nullopt;
 }
 
-auto objectionOfLoad(const Blackboard &board, const Row &row) -> std::optional<Objection>
+auto checkCapacity(const Blackboard &board, const Row &row) -> std::optional<Rejection>
 {
     const auto isFull = row.kind == RequestKind::Feed
                                 ? board.feeds.size() >= board.init.feedsMax
                                 : board.exchanges.size() >= board.init.exchangesMax;
     if (isFull) {
-        return Objection { RefusalReason::Overloaded, config::retryAfterMin };
+        return Rejection { RefusalReason::Overloaded, config::retryAfterMin };
     }
     return std::nullopt;
 }
 
-auto objectionOfRequest(const Blackboard &board, const Row &row, const CallerArrived &arrived)
-        -> std::optional<Objection>
+auto checkRequest(const Blackboard &board, const Row &row, const CallerArrived &arrived)
+        -> std::optional<Rejection>
 {
     if (arrived.bodyBytes > row.bodyMax) {
-        return Objection { RefusalReason::TooLarge, noRetry };
+        return Rejection { RefusalReason::TooLarge, noRetryAfter };
     }
     if (!isWellFormedKey(arrived.key)) {
-        return Objection { RefusalReason::BadKey, noRetry };
+        return Rejection { RefusalReason::BadKey, noRetryAfter };
     }
     const auto birth = keyBirthOf(arrived.key);
     if (birth && *birth > board.now.wall + board.init.clockBound) {
-        return Objection { RefusalReason::BadKey, noRetry };
+        return Rejection { RefusalReason::BadKey, noRetryAfter };
     }
-    if (const auto objection = objectionOfStop(board, row)) {
-        return objection;
+    if (const auto rejection = checkStopState(board, row)) {
+        return rejection;
     }
-    return objectionOfLoad(board, row);
+    return checkCapacity(board, row);
 }
 
-/// Returns why a token is refused. A key that is unknown here may be one that is just published.
-auto objectionOfToken(TokenFault fault) -> Objection
+/// Returns the rejection for an invalid token. An unknown key is worth a retry, because a table
+/// with that key may have been published without having reached this host yet.
+auto rejectionForToken(TokenFault fault) -> Rejection
 {
-    const auto mayBecomeKnown = fault == TokenFault::UnknownKey;
-    return { RefusalReason::BadToken, mayBecomeKnown ? config::retryAfterMin : noRetry };
+    const auto mayBePublishedSoon = fault == TokenFault::UnknownKey;
+    return { RefusalReason::BadToken, mayBePublishedSoon ? config::retryAfterMin : noRetryAfter };
 }
 
-/// Reads the caller's token for `row`: nothing where none was sent.
+/// Verifies the caller's token for `row`. Returns nothing if no token was sent.
 auto readToken(const Blackboard &board, const Row &row, const std::string &text)
-        -> tl::expected<std::optional<FlowToken>, Objection>
+        -> tl::expected<std::optional<FlowToken>, Rejection>
 {
     if (text.empty()) {
         return std::nullopt;
     }
     const auto token = verifyToken(text, board.table().tokenKeys());
     if (!token) {
-        return tl::unexpected(objectionOfToken(token.error()));
+        return tl::unexpected(rejectionForToken(token.error()));
     }
     if (token->service != row.service) {
-        return tl::unexpected(objectionOfToken(TokenFault::Forged));
+        return tl::unexpected(rejectionForToken(TokenFault::Forged));
     }
     return *token;
 }
@@ -109,14 +111,15 @@
 {
     Feed feed;
     feed.row = row.id;
-    feed.fromToken = token.has_value();
+    feed.upstreamFromToken = token.has_value();
     feed.flow = token ? token->flow : newFlow(board);
     feed.upstream = token ? token->upstream : UpstreamId();
     board.feeds.add(arrived.exchange, feed);
     board.toOpen.push_back(arrived.exchange);
 }
 
-/// Returns an exchange of `row` that arrives now.
+/// Returns an exchange of `row` that arrives now. Its deadline is `timeout` from now, at most the
+/// deadline of the row; a `timeout` of 0 stands for the deadline of the row.
 auto newExchange(const Blackboard &board, ExchangeId id, const Row &row, Duration timeout)
         -> Exchange
 {
@@ -133,7 +136,7 @@
     return exchange;
 }
 
-auto giveKey(Blackboard &board, Exchange &exchange, const std::string &key) -> void
+auto assignKey(Blackboard &board, Exchange &exchange, const std::string &key) -> void
 {
     exchange.key = key;
     if (!exchange.idempotent && key.empty()) {
@@ -152,30 +155,30 @@
     if (token && row.idempotent) {
         exchange.upstream = token->upstream;
     }
-    giveKey(board, exchange, arrived.key);
+    assignKey(board, exchange, arrived.key);
     board.exchanges.add(std::move(exchange));
     board.toPlace.push_back(arrived.exchange);
 }
 
-auto takeCaller(Blackboard &board, const CallerArrived &arrived) -> void
+auto onCallerArrived(Blackboard &board, const CallerArrived &arrived) -> void
 {
     ++board.stats.callersArrived;
-    const auto refuseFor = [&](const Objection &objection) {
-        refuseUnrun(board, arrived.exchange, objection.reason, objection.retryAfter);
+    const auto refuseWith = [&](const Rejection &rejection) {
+        refuseNotRun(board, arrived.exchange, rejection.reason, rejection.retryAfter);
     };
-    if (const auto objection = objectionOfHost(board)) {
-        return refuseFor(*objection);
+    if (const auto rejection = checkHostState(board)) {
+        return refuseWith(*rejection);
     }
     const auto *row = board.table().rowAt(arrived.address);
     if (row == nullptr) {
-        return refuseFor({ RefusalReason::UnknownService, noRetry });
+        return refuseWith({ RefusalReason::UnknownService, noRetryAfter });
     }
     const auto token = readToken(board, *row, arrived.token);
     if (!token) {
-        return refuseFor(token.error());
+        return refuseWith(token.error());
     }
-    if (const auto objection = objectionOfRequest(board, *row, arrived)) {
-        return refuseFor(*objection);
+    if (const auto rejection = checkRequest(board, *row, arrived)) {
+        return refuseWith(*rejection);
     }
     if (row->kind == RequestKind::Feed) {
         return addFeed(board, arrived, *row, *token);
@@ -183,15 +186,17 @@
     addExchange(board, arrived, *row, *token);
 }
 
-/// Returns the time that a relayed request is given here; a little less than its sender gives it,
-/// so that what this home says of the deadline comes back in time.
-auto timeAtHome(Duration remaining) -> Duration
+/// Returns the timeout of a relayed request at this host. It is slightly shorter than the time
+/// remaining at the sender, so that this host's refusal for a missed deadline reaches the sender
+/// before the sender itself times out.
+auto homeTimeout(Duration remaining) -> Duration
 {
     return remaining - std::min<Duration>(config::relayMargin, remaining / 4);
 }
 
-/// Returns whether the sender's view of the request fits this host's table.
-auto fitsTable(const Blackboard &board, const RelayArrived &arrived, const Row *row) -> bool
+/// Returns whether a relayed request agrees with this host's table. Otherwise the sender used
+/// another table revision.
+auto matchesTable(const Blackboard &board, const RelayArrived &arrived, const Row *row) -> bool
 {
     const auto &table = board.table();
     const auto zone = board.init.self.zone;
@@ -207,8 +212,10 @@
     return row->idempotent || !arrived.key.empty();
 }
 
-/// Returns whether the key of a relayed request belongs to this host's zone.
-auto isKeyOfZone(const Blackboard &board, const RelayArrived &arrived, const Row &row) -> bool
+/// Returns whether the key of a relayed request is placed in this host's zone. Always true for
+/// idempotent requests, which are not placed by key.
+auto isKeyPlacedInOwnZone(const Blackboard &board, const RelayArrived &arrived, const Row &row)
+        -> bool
 {
     if (row.idempotent) {
         return true;
@@ -217,29 +224,29 @@
     return placementOfKey(board, row.service, arrived.key, birth).zone == board.init.self.zone;
 }
 
-auto takeRelay(Blackboard &board, const RelayArrived &arrived) -> void
+auto onRelayArrived(Blackboard &board, const RelayArrived &arrived) -> void
 {
     ++board.stats.relaysArrived;
-    const auto refuseFor = [&](RefusalReason reason) {
-        refuseUnrun(board, arrived.exchange, reason, config::retryAfterMin);
+    const auto refuseWith = [&](RefusalReason reason) {
+        refuseNotRun(board, arrived.exchange, reason, config::retryAfterMin);
     };
     if (!board.config.revision.isValid()) {
-        return refuseFor(RefusalReason::NotReady);
+        return refuseWith(RefusalReason::NotReady);
     }
     const auto *row = board.table().row(arrived.row);
-    if (!fitsTable(board, arrived, row)) {
-        return refuseFor(RefusalReason::OldTable);
+    if (!matchesTable(board, arrived, row)) {
+        return refuseWith(RefusalReason::OldTable);
     }
-    if (!isKeyOfZone(board, arrived, *row)) {
-        return refuseFor(RefusalReason::WrongHome);
+    if (!isKeyPlacedInOwnZone(board, arrived, *row)) {
+        return refuseWith(RefusalReason::WrongHome);
     }
-    if (objectionOfLoad(board, *row)) {
-        return refuseFor(RefusalReason::Overloaded);
+    if (checkCapacity(board, *row)) {
+        return refuseWith(RefusalReason::Overloaded);
     }
     if (arrived.remaining <= Duration::zero()) {
-        return refuseFor(RefusalReason::DeadlineUnmet);
+        return refuseWith(RefusalReason::DeadlineUnmet);
     }
-    auto exchange = newExchange(board, arrived.exchange, *row, timeAtHome(arrived.remaining));
+    auto exchange = newExchange(board, arrived.exchange, *row, homeTimeout(arrived.remaining));
     exchange.origin = Origin::Relay;
     exchange.from = arrived.from;
     exchange.bodyBytes = arrived.bodyBytes;
@@ -256,9 +263,9 @@
 auto ArrivalController::handle(Blackboard &board, const Event &event) -> void
 {
     if (const auto *caller = std::get_if<CallerArrived>(&event)) {
-        takeCaller(board, *caller);
+        onCallerArrived(board, *caller);
     } else if (const auto *relay = std::get_if<RelayArrived>(&event)) {
-        takeRelay(board, *relay);
+        onRelayArrived(board, *relay);
     }
 }
 
--- a/src/core/requests/arrivalcontroller.h
+++ b/src/core/requests/arrivalcontroller.h
@@ -1,4 +1,4 @@
-/// Takes in what comes from callers and relaying hosts.
+/// Controller that accepts or refuses requests arriving from callers and from relaying hosts.
 #pragma once
 
 #include <flamingograde/event.h>
@@ -7,12 +7,13 @@
 
 class Blackboard;
 
-/// Checks each arrival against the table and the bounds, and makes an exchange or feed of it.
+/// Checks each arriving request against the table and the limits, then creates an exchange or a
+/// feed for it or refuses it as not run.
 /// @remarks Not thread safe.
 class ArrivalController
 {
 public:
-    /// Takes one event. Precondition: none.
+    /// Handles one event. Precondition: none.
     auto handle(Blackboard &board, const Event &event) -> void;
 };
 
--- a/src/core/requests/dispatch.cpp
+++ b/src/core/requests/dispatch.cpp
@@ -1,4 +1,4 @@
-/// Sends waiting requests of a cell to its upstreams.
+/// Dispatch of a cell's queued requests to its upstreams.
 #include "core/requests/dispatch.h"
 
 #include "core/admission/fairorder.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A waiting request and the upstream it would run at.
+/// A queued request and the slot offer of the upstream that would run it.
 struct Candidate
 {
     RowQueue *row = nullptr;
@@ -20,30 +20,33 @@
     const SlotOffer *offer = nullptr;
 };
 
-/// Returns the offer at which a waiting exchange may run now, or null.
-auto offerFor(Exchange &exchange, const std::vector<SlotOffer> &offers, const SlotOffer *best)
+/// Returns the slot offer to which a queued exchange can be dispatched now, or null. An exchange
+/// bound to an upstream waits for a slot there; any other takes `bestOffer`.
+auto offerFor(Exchange &exchange, const std::vector<SlotOffer> &offers, const SlotOffer *bestOffer)
         -> const SlotOffer *
 {
     if (!exchange.bound) {
-        return best;
+        return bestOffer;
     }
-    const auto own = std::find_if(offers.begin(), offers.end(), [&exchange](const auto &offer) {
-        return offer.upstream->id == exchange.upstream;
-    });
-    if (own == offers.end() || own->slots == 0) {
-        exchange.bound = false; // It drains, is ejected or gone: affinity ends.
-        return best;
+    const auto boundOffer =
+            std::find_if(offers.begin(), offers.end(), [&exchange](const auto &offer) {
+                return offer.upstream->id == exchange.upstream;
+            });
+    if (boundOffer == offers.end() || boundOffer->slots == 0) {
+        exchange.bound = false; // Its upstream is draining, ejected or removed.
+        return bestOffer;
     }
-    return own->isFree() ? &*own : nullptr;
+    return boundOffer->isFree() ? &*boundOffer : nullptr;
 }
 
-/// Returns the first request of `row` that could run now; its `exchange` is invalid for none.
-auto firstReady(Blackboard &board, RowQueue &row, const std::vector<SlotOffer> &offers,
-                const SlotOffer *best) -> Candidate
+/// Returns the first request of `row` that can be dispatched now. The `exchange` of the result is
+/// invalid if there is none.
+auto firstDispatchable(Blackboard &board, RowQueue &row, const std::vector<SlotOffer> &offers,
+                       const SlotOffer *bestOffer) -> Candidate
 {
     for (const auto id : row.waiting) {
         auto *exchange = board.exchanges.find(id);
-        const auto *offer = offerFor(*exchange, offers, best);
+        const auto *offer = offerFor(*exchange, offers, bestOffer);
         if (offer != nullptr) {
             return { &row, id, offer };
         }
@@ -51,22 +54,24 @@
     return {};
 }
 
-/// Returns the request to be dispatched next; its `exchange` is invalid for none.
+/// Returns the request to dispatch next in weighted fair order. The `exchange` of the result is
+/// invalid if there is none.
 auto nextCandidate(Blackboard &board, Cell &cell, const std::vector<SlotOffer> &offers) -> Candidate
 {
-    const auto *best = chooseUpstream(offers);
+    const auto *bestOffer = chooseUpstream(offers);
     std::vector<Candidate> candidates;
     std::vector<RowQueue *> ready;
     for (auto &[id, row] : cell.rows) {
         if (row.waiting.empty()) {
             continue;
         }
-        const auto candidate = row.hasRoom() ? firstReady(board, row, offers, best) : Candidate {};
+        const auto candidate =
+                row.hasRoom() ? firstDispatchable(board, row, offers, bestOffer) : Candidate {};
         if (candidate.exchange.isValid()) {
             candidates.push_back(candidate);
             ready.push_back(&row);
         } else {
-            row.startTag = std::max(row.startTag, cell.virtualTime); // No claim on missed turns.
+            row.startTag = std::max(row.startTag, cell.virtualTime); // No credit for missed turns.
         }
     }
     if (ready.empty()) {
@@ -77,16 +82,17 @@
                          [chosen](const auto &candidate) { return candidate.row == chosen; });
 }
 
-/// Returns whether the answer can still come in time.
-auto canBeMet(const Blackboard &board, const Exchange &exchange, const RowQueue &row) -> bool
+/// Returns whether the answer is expected at least `config::deadlineMargin` before the deadline.
+auto canMeetDeadline(const Blackboard &board, const Exchange &exchange, const RowQueue &row) -> bool
 {
     const auto remaining = exchange.deadline - board.now.mono;
     const auto expected = row.serviceTime.likely(board.now.mono).value_or(Duration { 0 });
     return remaining > expected + config::deadlineMargin;
 }
 
-/// Notes on all repeats that their key is on its way.
-auto markRepeats(Blackboard &board, const Exchange &exchange) -> void
+/// Marks all waiting repeats of the request's idempotency key as possibly sent, because the key is
+/// now dispatched.
+auto markRepeatsMaybeSent(Blackboard &board, const Exchange &exchange) -> void
 {
     for (const auto id : board.keys.dispatched(exchange.id, exchange.attempt, board.now)) {
         auto *repeat = board.exchanges.find(id);
@@ -96,11 +102,12 @@
     }
 }
 
-/// Counts a place of the row's queue that became free.
-auto makeUpPlace(RowQueue &row) -> void
+/// Lowers the row's count of requests turned away by the queue place that a dispatch freed. An
+/// empty queue has no such requests to make up for, so the count becomes 0.
+auto reduceTurnedAway(RowQueue &row) -> void
 {
-    const auto owed = row.waiting.empty() ? 0 : row.turnedAway;
-    row.turnedAway = owed > 0 ? owed - 1 : 0;
+    const auto outstanding = row.waiting.empty() ? 0 : row.turnedAway;
+    row.turnedAway = outstanding > 0 ? outstanding - 1 : 0;
 }
 
 auto send(Blackboard &board, Cell &cell, const Candidate &candidate,
@@ -118,9 +125,9 @@
     request.deadline = exchange.deadline;
     request.charged = chargeRow(*candidate.row);
     board.cells.start(request);
-    makeUpPlace(*candidate.row);
+    reduceTurnedAway(*candidate.row);
     countServed(cell, offers, *candidate.offer);
-    markRepeats(board, exchange);
+    markRepeatsMaybeSent(board, exchange);
     exchange.upstream = upstream.id;
     exchange.stage = Stage::Dispatched;
     exchange.maybeSent = true;
@@ -157,7 +164,7 @@
             return;
         }
         auto &exchange = *board.exchanges.find(candidate.exchange);
-        if (canBeMet(board, exchange, *candidate.row)) {
+        if (canMeetDeadline(board, exchange, *candidate.row)) {
             send(board, cell, candidate, offers);
         } else {
             refuse(board, exchange, RefusalReason::DeadlineUnmet, config::retryAfterMin);
--- a/src/core/requests/dispatch.h
+++ b/src/core/requests/dispatch.h
@@ -1,4 +1,4 @@
-/// Sends waiting requests of a cell to its upstreams.
+/// Dispatch of a cell's queued requests to its upstreams.
 #pragma once
 
 #include <flamingograde/action.h>
@@ -12,13 +12,13 @@
 struct Exchange;
 struct Upstream;
 
-/// Returns the action that sends `exchange` to `upstream` now.
+/// Returns the action that sends `exchange` to `upstream`; its remaining time counts from now.
 [[nodiscard]] auto dispatchOf(const Blackboard &board, const Exchange &exchange,
                               const std::string &rowName, const Upstream &upstream) -> Dispatch;
 
-/// Dispatches the waiting requests of `cell` in weighted fair order while slots are free, and
-/// refuses those whose deadline has passed or can no longer be met.
-/// Precondition: this host is home of `cell`.
+/// Dispatches the queued requests of `cell` in weighted fair order while slots are free. Refuses a
+/// request whose turn comes after its deadline or too late to meet it.
+/// Precondition: this host is the home of `cell`.
 auto dispatchWaiting(Blackboard &board, Cell &cell) -> void;
 
 } // namespace flamingograde
--- a/src/core/requests/exchangestore.cpp
+++ b/src/core/requests/exchangestore.cpp
@@ -1,4 +1,4 @@
-/// The requests under way, by id and by deadline.
+/// Requests in progress, indexed by id, by deadline and by time of the next placement.
 #include "core/requests/exchangestore.h"
 
 #include <utility>
@@ -46,15 +46,15 @@
 
 auto ExchangeStore::placeLater(ExchangeId id, MonoTime when) -> void
 {
-    this->byPlacing.emplace(when, id);
+    this->byPlacementTime.emplace(when, id);
 }
 
 auto ExchangeStore::takeToPlace(MonoTime now) -> std::vector<ExchangeId>
 {
     std::vector<ExchangeId> due;
-    while (!this->byPlacing.empty() && this->byPlacing.begin()->first <= now) {
-        due.push_back(this->byPlacing.begin()->second);
-        this->byPlacing.erase(this->byPlacing.begin());
+    while (!this->byPlacementTime.empty() && this->byPlacementTime.begin()->first <= now) {
+        due.push_back(this->byPlacementTime.begin()->second);
+        this->byPlacementTime.erase(this->byPlacementTime.begin());
     }
     return due;
 }
--- a/src/core/requests/exchangestore.h
+++ b/src/core/requests/exchangestore.h
@@ -1,4 +1,4 @@
-/// The requests under way in this host.
+/// Store of the requests in progress on this host.
 #pragma once
 
 #include "core/requests/exchange.h"
@@ -13,28 +13,30 @@
 
 namespace flamingograde {
 
-/// Owns the exchanges and knows which are past their deadline.
+/// Owns the exchanges, indexes them by deadline and queues those to be placed later.
 /// @remarks Not thread safe.
 class ExchangeStore
 {
 public:
-    /// Adds `exchange`. Precondition: its id is new.
+    /// Adds `exchange`. Precondition: its id is not stored yet.
     /// @returns the stored exchange; the reference holds until it is erased.
     auto add(Exchange exchange) -> Exchange &;
 
-    /// Returns the exchange, or null.
+    /// Returns the exchange, or null if it is not stored.
     [[nodiscard]] auto find(ExchangeId id) -> Exchange *;
 
-    /// Removes the exchange, if it is there.
+    /// Removes the exchange, if it is stored.
     auto erase(ExchangeId id) -> void;
 
     /// Returns the exchanges whose deadline is at or before `now`, earliest first.
     [[nodiscard]] auto expired(MonoTime now) const -> std::vector<ExchangeId>;
 
-    /// Has the exchange placed again at `when`. Precondition: it is stored and waits for nothing.
+    /// Queues the exchange for another placement at `when`. Precondition: it is stored and waits
+    /// for nothing else.
     auto placeLater(ExchangeId id, MonoTime when) -> void;
 
-    /// Returns the exchanges whose time to be placed again has come; some may be gone.
+    /// Removes the exchanges due for placement at `now` from the queue and returns them. Some may
+    /// have been erased from the store.
     [[nodiscard]] auto takeToPlace(MonoTime now) -> std::vector<ExchangeId>;
 
     [[nodiscard]] auto size() const -> std::size_t { return this->byId.size(); }
@@ -46,7 +48,7 @@
 private:
     std::unordered_map<ExchangeId, Exchange> byId;
     std::multimap<MonoTime, ExchangeId> byDeadline;
-    std::multimap<MonoTime, ExchangeId> byPlacing; ///< May name exchanges that are gone.
+    std::multimap<MonoTime, ExchangeId> byPlacementTime; ///< May hold exchanges that were erased.
 };
 
 } // namespace flamingograde
--- a/src/core/requests/outcomecontroller.cpp
+++ b/src/core/requests/outcomecontroller.cpp
@@ -1,4 +1,4 @@
-/// Outcomes of requests.
+/// Handling of request outcomes: retries, refusals, cancellations and deadlines.
 #include "core/requests/outcomecontroller.h"
 
 #include "core/blackboard.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Duration noRetry { 0 };
+constexpr Duration noRetryAfter { 0 };
 
 auto isSent(const Exchange &exchange) -> bool
 {
@@ -21,21 +21,22 @@
            || exchange.stage == Stage::Answering;
 }
 
-/// Notes that the current attempt surely ran nothing.
-auto noteNotRun(Exchange &exchange) -> void
+/// Marks the current attempt as provably not run, and its cell as one to avoid.
+auto markNotRun(Exchange &exchange) -> void
 {
     exchange.maybeSent = false;
     exchange.avoid = exchange.cell;
 }
 
-/// Returns whether a choice of cells is left to the placement.
-auto isFreeToMove(const Exchange &exchange) -> bool
+/// Returns whether the placement may choose another cell: the request came from a caller, and no
+/// key of the caller's fixes its cell.
+auto mayChangeCell(const Exchange &exchange) -> bool
 {
     return exchange.origin == Origin::Caller && (exchange.idempotent || exchange.ownKey);
 }
 
-/// Returns whether the exchange's cell still has the home to which it was last sent.
-auto hasSameHome(const Blackboard &board, const Exchange &exchange) -> bool
+/// Returns whether the home of the exchange's cell is still the host to which it was last relayed.
+auto isHomeUnchanged(const Blackboard &board, const Exchange &exchange) -> bool
 {
     const auto &indices = board.table().upstreamsOf(exchange.cell);
     if (indices.empty()) {
@@ -45,58 +46,60 @@
     return board.membership.homeOf(exchange.cell, zone) == exchange.home;
 }
 
-/// Returns the pause before an exchange is placed again after its home did not take it: none where
-/// it can go to another host.
-auto pauseBefore(const Blackboard &board, const Exchange &exchange) -> Duration
+/// Returns the delay before an exchange is placed again after its home did not accept it. The first
+/// retry is not delayed if it can go to another host.
+auto placementRetryDelay(const Blackboard &board, const Exchange &exchange) -> Duration
 {
-    const auto first = exchange.attempt <= 1;
-    if (first && (isFreeToMove(exchange) || !hasSameHome(board, exchange))) {
+    const auto isFirstAttempt = exchange.attempt <= 1;
+    if (isFirstAttempt && (mayChangeCell(exchange) || !isHomeUnchanged(board, exchange))) {
         return Duration::zero();
     }
     return config::placeRetryMin * std::max<std::uint32_t>(exchange.attempt, 1U);
 }
 
-/// Places `exchange` again after `pause`, or refuses it where attempts or time have run out.
-auto placeAgain(Blackboard &board, Exchange &exchange, Duration pause, const Refusal &otherwise)
-        -> void
+/// Places `exchange` again after `pause`. Refuses it with `finalRefusal` if its attempts are used
+/// up or its deadline comes first.
+auto retryPlacement(Blackboard &board, Exchange &exchange, Duration pause,
+                    const Refusal &finalRefusal) -> void
 {
-    const auto again = board.now.mono + pause;
-    if (exchange.attempt >= config::relayAttempts || again >= exchange.deadline) {
-        return refuse(board, exchange, otherwise);
+    const auto retryTime = board.now.mono + pause;
+    if (exchange.attempt >= config::relayAttempts || retryTime >= exchange.deadline) {
+        return refuse(board, exchange, finalRefusal);
     }
     ++board.stats.retried;
     board.cells.remove(exchange.id);
     exchange.stage = Stage::Placing;
     if (pause > Duration::zero()) {
-        return board.exchanges.placeLater(exchange.id, again);
+        return board.exchanges.placeLater(exchange.id, retryTime);
     }
     board.toPlace.push_back(exchange.id);
 }
 
-/// Places again what an upstream did not run, if the budget for such retries allows it.
-auto retryOrRefuse(Blackboard &board, Exchange &exchange, const Refusal &otherwise) -> void
+/// Takes one retry from the budget and places `exchange` again at once. Refuses it with
+/// `finalRefusal` if the budget is empty, and drops it if its caller has left.
+auto spendRetryOrRefuse(Blackboard &board, Exchange &exchange, const Refusal &finalRefusal) -> void
 {
     if (exchange.callerGone) {
         return forget(board, exchange.id);
     }
     if (!board.retryBudget.spend()) {
-        return refuse(board, exchange, otherwise);
+        return refuse(board, exchange, finalRefusal);
     }
-    placeAgain(board, exchange, Duration::zero(), otherwise);
+    retryPlacement(board, exchange, Duration::zero(), finalRefusal);
 }
 
 auto onNotSent(Blackboard &board, Exchange &exchange) -> void
 {
     const auto wasRelayed = exchange.stage == Stage::Relayed;
-    noteNotRun(exchange);
+    markNotRun(exchange);
     if (wasRelayed) {
-        const Refusal otherwise { RefusalReason::NoHome, verdictOf(exchange),
-                                  config::retryAfterMin };
-        return placeAgain(board, exchange, pauseBefore(board, exchange), otherwise);
+        const Refusal finalRefusal { RefusalReason::NoHome, verdictOf(exchange),
+                                     config::retryAfterMin };
+        return retryPlacement(board, exchange, placementRetryDelay(board, exchange), finalRefusal);
     }
-    const Refusal otherwise { RefusalReason::NoUpstream, verdictOf(exchange),
-                              config::retryAfterMin };
-    retryOrRefuse(board, exchange, otherwise);
+    const Refusal finalRefusal { RefusalReason::NoUpstream, verdictOf(exchange),
+                                 config::retryAfterMin };
+    spendRetryOrRefuse(board, exchange, finalRefusal);
 }
 
 auto onLost(Blackboard &board, Exchange &exchange) -> void
@@ -105,18 +108,20 @@
     if (exchange.callerGone) {
         return forget(board, exchange.id);
     }
-    const auto isLate = board.now.mono >= exchange.deadline; // The transport gave up on time.
-    const Refusal lost { isLate ? RefusalReason::DeadlineUnmet : RefusalReason::Lost,
-                         Verdict::Unknown, exchange.idempotent ? config::retryAfterMin : noRetry };
+    const auto isPastDeadline =
+            board.now.mono >= exchange.deadline; // The transport timed out at the deadline.
+    const Refusal lostRefusal { isPastDeadline ? RefusalReason::DeadlineUnmet : RefusalReason::Lost,
+                                Verdict::Unknown,
+                                exchange.idempotent ? config::retryAfterMin : noRetryAfter };
     if (!exchange.idempotent) {
-        return refuse(board, exchange, lost);
+        return refuse(board, exchange, lostRefusal);
     }
     exchange.sentBefore = true;
     exchange.avoid = exchange.cell;
-    retryOrRefuse(board, exchange, lost);
+    spendRetryOrRefuse(board, exchange, lostRefusal);
 }
 
-/// Returns whether another placement may help after a home's refusal.
+/// Returns whether placing a request again may succeed after its home refused it with `reason`.
 auto isPlacementRefusal(RefusalReason reason) -> bool
 {
     switch (reason) {
@@ -131,8 +136,8 @@
     }
 }
 
-/// Returns the home's refusal as a caller may be told: words between hosts become `NoHome`, and
-/// "not run" holds for all attempts.
+/// Converts a home's refusal to one for the caller. Reasons that concern only hosts become
+/// `NoHome`. `NotRun` is kept only if it is true of all attempts.
 auto refusalForCaller(const Exchange &exchange, const AnswerHead &head) -> Refusal
 {
     Refusal refusal { head.reason, head.verdict, head.retryAfter };
@@ -148,38 +153,41 @@
 
 auto onHomeRefusal(Blackboard &board, Exchange &exchange, const AnswerHead &head) -> void
 {
-    // No other host knows a key made here: a home that cannot tell whether it ran has not run it.
-    const auto isOwnUnknown = exchange.ownKey && head.reason == RefusalReason::KeyUnknown
-                              && head.verdict == Verdict::Unknown;
-    if (head.verdict == Verdict::NotRun || isOwnUnknown) {
-        noteNotRun(exchange);
+    // No other host can know a key generated here, so a home that cannot tell whether the request
+    // ran has not run it.
+    const auto isGeneratedKeyUnknown = exchange.ownKey && head.reason == RefusalReason::KeyUnknown
+                                       && head.verdict == Verdict::Unknown;
+    if (head.verdict == Verdict::NotRun || isGeneratedKeyUnknown) {
+        markNotRun(exchange);
     }
     auto refusal = refusalForCaller(exchange, head);
-    if (isOwnUnknown) {
+    if (isGeneratedKeyUnknown) {
         refusal = { RefusalReason::NoHome, verdictOf(exchange), config::retryAfterMin };
     }
-    const auto mayMove = head.verdict == Verdict::NotRun && isPlacementRefusal(head.reason);
-    if (mayMove || isOwnUnknown) {
-        return placeAgain(board, exchange, pauseBefore(board, exchange), refusal);
+    const auto mayPlaceElsewhere =
+            head.verdict == Verdict::NotRun && isPlacementRefusal(head.reason);
+    if (mayPlaceElsewhere || isGeneratedKeyUnknown) {
+        return retryPlacement(board, exchange, placementRetryDelay(board, exchange), refusal);
     }
     refuse(board, exchange, refusal);
 }
 
-auto onUnrun(Blackboard &board, Exchange &exchange, const AnswerHead &head) -> void
+auto onNotRun(Blackboard &board, Exchange &exchange, const AnswerHead &head) -> void
 {
-    noteNotRun(exchange);
+    markNotRun(exchange);
     const auto pause =
             std::clamp<Duration>(head.retryAfter, config::retryAfterMin, config::retryAfterMax);
-    retryOrRefuse(board, exchange, { RefusalReason::NoUpstream, verdictOf(exchange), pause });
+    spendRetryOrRefuse(board, exchange, { RefusalReason::NoUpstream, verdictOf(exchange), pause });
 }
 
-/// Returns the token by which the flow comes back to the upstream that answered; empty where the
-/// caller has it already, where this host does not know the upstream, or where tokens do not steer.
+/// Returns a token that steers later requests of the flow to the upstream that answered. Empty if
+/// the caller already has one for it, if this host did not dispatch the request itself, if the
+/// request is not idempotent (its key decides the placement) or if there is no signing key.
 auto tokenFor(Blackboard &board, const Exchange &exchange) -> std::string
 {
     const auto *key = signingKey(board.table().tokenKeys());
-    const auto known = exchange.stage == Stage::Dispatched && exchange.upstream.isValid();
-    if (key == nullptr || !known || !exchange.idempotent || exchange.bound) {
+    const auto isUpstreamKnown = exchange.stage == Stage::Dispatched && exchange.upstream.isValid();
+    if (key == nullptr || !isUpstreamKnown || !exchange.idempotent || exchange.bound) {
         return {};
     }
     const auto flow = exchange.flow.isValid() ? exchange.flow
@@ -199,7 +207,7 @@
         return refuse(board, exchange, RefusalReason::DeadlineUnmet, config::retryAfterMin);
     }
     if (exchange.stage == Stage::Dispatched && saysUnrun(head)) {
-        return onUnrun(board, exchange, head);
+        return onNotRun(board, exchange, head);
     }
     board.act(PassAnswer { exchange.id, tokenFor(board, exchange) });
     exchange.stage = Stage::Answering;
@@ -211,7 +219,7 @@
         return onLost(board, exchange);
     }
     ++board.stats.answered;
-    board.retryBudget.earn();
+    board.retryBudget.recordSuccess();
     forget(board, exchange.id);
 }
 
@@ -221,7 +229,7 @@
         return onLost(board, exchange);
     }
     ++board.stats.cut;
-    board.log(LogEvent::AnswerLost, "why=\"broke off\"");
+    board.log(LogEvent::AnswerLost, "why=\"answer truncated\"");
     if (!exchange.callerGone) {
         board.act(AbortAnswer { exchange.id });
     }
@@ -248,8 +256,8 @@
     }
 }
 
-/// A request with a caller's key that may be running runs on, so that a repeat of its key gets the
-/// answer. Everything else ends here.
+/// Cancels the request of a caller that left. A non-idempotent request with the caller's own key
+/// that may be running at an upstream continues, so that a repeat of its key gets the answer.
 auto onCallerLeft(Blackboard &board, ExchangeId id) -> void
 {
     auto *exchange = board.exchanges.find(id);
@@ -260,8 +268,8 @@
     const auto atUpstream =
             exchange->stage == Stage::Dispatched
             || (exchange->stage == Stage::Answering && exchange->home == board.init.self.id);
-    const auto mayBeRepeated = !exchange->idempotent && !exchange->ownKey;
-    if (mayBeRepeated && atUpstream) {
+    const auto hasCallerKey = !exchange->idempotent && !exchange->ownKey;
+    if (hasCallerKey && atUpstream) {
         exchange->callerGone = true;
         return;
     }
@@ -272,7 +280,8 @@
     forget(board, id);
 }
 
-/// Ends an exchange whose deadline has passed.
+/// Ends an exchange whose deadline has passed: cancels it if its caller left, aborts an answer that
+/// has begun, and refuses it otherwise.
 auto expire(Blackboard &board, Exchange &exchange) -> void
 {
     ++board.stats.cancelled;
@@ -288,7 +297,7 @@
     refuse(board, exchange, RefusalReason::DeadlineUnmet, config::retryAfterMin);
 }
 
-auto expireAll(Blackboard &board) -> void
+auto expireOverdue(Blackboard &board) -> void
 {
     for (const auto id : board.exchanges.expired(board.now.mono)) {
         if (auto *exchange = board.exchanges.find(id)) {
@@ -297,22 +306,22 @@
     }
 }
 
-/// Places idempotent requests again whose home has been given up; the others may still get their
-/// answer and are left to their deadline.
-auto leaveDeadHomes(Blackboard &board) -> void
+/// Treats idempotent requests relayed to a dead or removed home as lost, so that they are retried.
+/// Non-idempotent ones may still get their answer and wait for it until their deadline.
+auto retryRelaysToDeadHomes(Blackboard &board) -> void
 {
-    std::vector<ExchangeId> stranded;
+    std::vector<ExchangeId> affected;
     for (const auto &[id, exchange] : board.exchanges.all()) {
         if (exchange.stage != Stage::Relayed || !exchange.idempotent) {
             continue;
         }
         const auto *home = board.membership.find(exchange.home);
         if (home == nullptr || home->state == MemberState::Dead) {
-            stranded.push_back(id);
+            affected.push_back(id);
         }
     }
-    std::sort(stranded.begin(), stranded.end());
-    for (const auto id : stranded) {
+    std::sort(affected.begin(), affected.end());
+    for (const auto id : affected) {
         onLost(board, *board.exchanges.find(id));
     }
 }
@@ -327,10 +336,10 @@
                        [](const auto &) {},
                },
                event);
-    expireAll(board);
-    if (this->members != board.membership.version()) {
-        this->members = board.membership.version();
-        leaveDeadHomes(board);
+    expireOverdue(board);
+    if (this->checkedMembership != board.membership.version()) {
+        this->checkedMembership = board.membership.version();
+        retryRelaysToDeadHomes(board);
     }
 }
 
--- a/src/core/requests/outcomecontroller.h
+++ b/src/core/requests/outcomecontroller.h
@@ -1,4 +1,5 @@
-/// Brings each request to its one end: answer, refusal, cancellation or deadline.
+/// Controller that ends each request exactly once: by an answer, a refusal, a cancellation or its
+/// deadline.
 #pragma once
 
 #include <flamingograde/event.h>
@@ -9,20 +10,19 @@
 
 class Blackboard;
 
-/// Takes the transport's reports on requests that were sent somewhere, the leaving of callers and
-/// the passing of deadlines.
+/// Handles the transport's reports on sent requests, callers that leave and deadlines that pass.
 ///
-/// What was surely not run is placed again while attempts and budget last. What may have been run
-/// is placed again only if it is idempotent.
+/// A request that was provably not run is placed again while attempts and retry budget last. A
+/// request that may have been run is placed again only if it is idempotent.
 /// @remarks Not thread safe.
 class OutcomeController
 {
 public:
-    /// Takes one event. Precondition: none.
+    /// Handles one event. Precondition: none.
     auto handle(Blackboard &board, const Event &event) -> void;
 
 private:
-    std::uint64_t members = 0; ///< The membership under which all relays were last looked at.
+    std::uint64_t checkedMembership = 0; ///< Membership version at which relays were last checked.
 };
 
 } // namespace flamingograde
--- a/src/core/requests/refusal.cpp
+++ b/src/core/requests/refusal.cpp
@@ -1,4 +1,4 @@
-/// Words and HTTP statuses of refusals.
+/// Names and HTTP statuses of refusal reasons.
 #include <flamingograde/refusal.h>
 
 #include <flamingograde/stats.h>
@@ -15,7 +15,7 @@
     int status;
 };
 
-/// In the order of `RefusalReason`.
+/// Indexed by `RefusalReason`.
 constexpr std::array<ReasonText, Stats::reasons> reasonTexts { {
         { "unknown-service", 404 },
         { "bad-token", 403 },
--- a/src/core/requests/refuse.cpp
+++ b/src/core/requests/refuse.cpp
@@ -1,4 +1,4 @@
-/// Refuses and forgets exchanges.
+/// Refusal and removal of exchanges and feeds.
 #include "core/requests/refuse.h"
 
 #include "core/blackboard.h"
@@ -22,7 +22,7 @@
     }
 }
 
-auto answer(Blackboard &board, ExchangeId exchange, const Refusal &refusal) -> void
+auto sendRefusal(Blackboard &board, ExchangeId exchange, const Refusal &refusal) -> void
 {
     ++board.stats.refused.at(static_cast<std::size_t>(refusal.reason));
     board.log(logEventOf(refusal.reason),
@@ -34,9 +34,10 @@
 
 auto verdictOf(const Exchange &exchange) -> Verdict
 {
-    const auto waitsOnKey = exchange.stage == Stage::Attached || exchange.stage == Stage::Looking;
+    const auto waitsForSameKey =
+            exchange.stage == Stage::Attached || exchange.stage == Stage::Looking;
     const auto maybeSent = exchange.maybeSent || exchange.sentBefore;
-    return maybeSent || waitsOnKey ? Verdict::Unknown : Verdict::NotRun;
+    return maybeSent || waitsForSameKey ? Verdict::Unknown : Verdict::NotRun;
 }
 
 auto refuse(Blackboard &board, Exchange &exchange, RefusalReason reason, Duration retryAfter)
@@ -48,14 +49,14 @@
 auto refuse(Blackboard &board, Exchange &exchange, const Refusal &refusal) -> void
 {
     const auto id = exchange.id;
-    answer(board, id, refusal);
+    sendRefusal(board, id, refusal);
     forget(board, id);
 }
 
-auto refuseUnrun(Blackboard &board, ExchangeId exchange, RefusalReason reason, Duration retryAfter)
+auto refuseNotRun(Blackboard &board, ExchangeId exchange, RefusalReason reason, Duration retryAfter)
         -> void
 {
-    answer(board, exchange, Refusal { reason, Verdict::NotRun, retryAfter });
+    sendRefusal(board, exchange, Refusal { reason, Verdict::NotRun, retryAfter });
     forget(board, exchange);
 }
 
--- a/src/core/requests/retrybudget.cpp
+++ b/src/core/requests/retrybudget.cpp
@@ -1,11 +1,11 @@
-/// A bucket that successes fill and retries empty.
+/// Token bucket of retries: a success adds a fraction of a token, a retry takes one.
 #include "core/requests/retrybudget.h"
 
 #include <algorithm>
 
 namespace flamingograde {
 
-auto RetryBudget::earn() -> void
+auto RetryBudget::recordSuccess() -> void
 {
     this->tokens = std::min(this->tokens + config::retryBudgetShare, config::retryBudgetBurst);
 }
--- a/src/core/requests/retrybudget.h
+++ b/src/core/requests/retrybudget.h
@@ -1,20 +1,21 @@
-/// How many retries are still allowed.
+/// Budget that limits retries to a share of the successful requests.
 #pragma once
 
 #include <flamingograde/config.h>
 
 namespace flamingograde {
 
-/// A share of the successes may be spent on retries, so that retries cannot multiply an overload.
+/// Token bucket that allows retries for a share of the successful requests, so that retries cannot
+/// amplify an overload.
 /// @remarks Not thread safe.
 class RetryBudget
 {
 public:
-    /// Counts a success.
-    auto earn() -> void;
-    /// Takes one retry. @returns false where none is left.
+    /// Adds the retry share of one successful request, up to the burst limit.
+    auto recordSuccess() -> void;
+    /// Takes one retry. @returns false if less than one is left.
     [[nodiscard]] auto spend() -> bool;
-    /// Returns the retries left.
+    /// Returns the number of retries left, with fractions.
     [[nodiscard]] auto left() const -> double;
 
 private:
--- a/src/core/requests/runningrequest.h
+++ b/src/core/requests/runningrequest.h
@@ -1,4 +1,4 @@
-/// One request that holds an upstream's slot.
+/// Record of a dispatched request that occupies an upstream slot.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -8,21 +8,21 @@
 
 namespace flamingograde {
 
-/// What must be known of a dispatched request once its exchange is gone.
+/// Data of a dispatched request that is needed after its exchange was removed.
 struct RunningRequest
 {
     ExchangeId exchange;
-    std::uint32_t attempt = 0; ///< Of its `Dispatch`.
+    std::uint32_t attempt = 0; ///< Attempt number of its `Dispatch` action.
     CellId cell;
     RowId row;
     UpstreamId upstream;
     MonoTime since;         ///< When it was dispatched.
-    MonoTime deadline;      ///< When it is given up.
-    Duration charged { 0 }; ///< Slot time already charged to its row.
-    bool answered = false;  ///< The whole answer came.
-    bool notSent = false;   ///< No byte of it left.
-    bool failed = false;    ///< Its upstream was already blamed for it.
-    bool unrun = false;     ///< Its upstream sent it back unrun.
+    MonoTime deadline;      ///< Deadline of the exchange, after which it is given up.
+    Duration charged { 0 }; ///< Slot time charged to its row in advance, at dispatch.
+    bool answered = false;  ///< The complete answer was received.
+    bool notSent = false;   ///< No byte of it was sent.
+    bool failed = false;    ///< It was already counted as a failure of its upstream.
+    bool unrun = false;     ///< Its upstream reported that it did not run it.
 };
 
 } // namespace flamingograde
--- a/src/core/requests/token.h
+++ b/src/core/requests/token.h
@@ -1,4 +1,5 @@
-/// Flow tokens: what a caller carries so that any host steers its flow to the same upstream.
+/// Flow tokens. A caller sends its token with each request, so that any host steers the flow to the
+/// same upstream.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -14,7 +15,7 @@
 
 namespace flamingograde {
 
-/// What a token says.
+/// Content of a token.
 struct FlowToken
 {
     ServiceId service;
@@ -22,26 +23,26 @@
     FlowId flow;
 };
 
-/// Why a token is not accepted.
+/// Reason for rejecting a token.
 enum class TokenFault : std::uint8_t {
-    Malformed,  ///< Not the text of a token of this version.
-    UnknownKey, ///< Its key is not, or no longer, in the table.
-    Forged,     ///< Its code does not fit its content.
+    Malformed,  ///< Wrong length, not base64url or another token version.
+    UnknownKey, ///< The table has no key with the token's key id; it may have been removed.
+    Forged,     ///< The authentication code does not match the content.
 };
 
 /// Length of a token's text: 42 bytes in base64url.
 inline constexpr std::size_t tokenTextBytes = 56;
 
-/// Returns the text of `token`, authenticated under `key`.
+/// Returns the text of `token`, authenticated with `key`.
 /// @remarks Thread safe.
 [[nodiscard]] auto signToken(const FlowToken &token, const TokenKey &key) -> std::string;
 
-/// Returns the content of a token's text, if one of `keys` authenticates it.
-/// @remarks Thread safe. Whether the service is the right one is the caller's to check.
+/// Returns the content of a token's text if the key it names is one of `keys` and authenticates it.
+/// @remarks Thread safe. The calling code has to check the service.
 [[nodiscard]] auto verifyToken(std::string_view text, const std::vector<TokenKey> &keys)
         -> tl::expected<FlowToken, TokenFault>;
 
-/// Returns the key that signs, or null where there is none.
+/// Returns the key that signs new tokens, or null if there is none.
 /// @remarks Thread safe.
 [[nodiscard]] auto signingKey(const std::vector<TokenKey> &keys) -> const TokenKey *;
 
--- a/src/core/requests/verdict.cpp
+++ b/src/core/requests/verdict.cpp
@@ -1,4 +1,4 @@
-/// The text of verdicts.
+/// Names of verdicts.
 #include <flamingograde/verdict.h>
 
 namespace flamingograde {
--- a/src/core/stop/stopcontroller.cpp
+++ b/src/core/stop/stopcontroller.cpp
@@ -1,4 +1,5 @@
-/// Steps of an orderly stop: notice, listeners closed, work finished, ready.
+/// Graceful shutdown in steps: announce the stop, close the listeners, finish the work, report
+/// ready.
 #include "core/stop/stopcontroller.h"
 
 #include "core/blackboard.h"
@@ -10,7 +11,7 @@
 
 namespace {
 
-auto begin(Blackboard &board) -> void
+auto beginStop(Blackboard &board) -> void
 {
     if (board.stop.stopping) {
         return;
@@ -28,8 +29,9 @@
     }
 }
 
-/// Returns how many cells this host is home of although another host of its zone could be.
-auto heldCells(const Blackboard &board) -> std::size_t
+/// Returns how many cells this host still has to hand over: those it is home of, or 0 if no other
+/// host of its zone can be their home.
+auto cellsToHandOver(const Blackboard &board) -> std::size_t
 {
     const auto zone = board.init.self.zone;
     const auto &candidates = board.membership.candidates(zone);
@@ -48,9 +50,10 @@
     return static_cast<std::size_t>(std::unique(cells.begin(), cells.end()) - cells.begin());
 }
 
-/// Returns whether the fabric may still send packets to this host: its checks have not failed for
-/// long enough, or packets still come.
-auto takesPackets(const Blackboard &board) -> bool
+/// Returns whether the fabric may still send packets to this host: its health checks have not
+/// failed for `config::fabricNotice` yet, or a packet arrived within `config::fabricQuiet`. Always
+/// false if this host steers no packets.
+auto mayReceivePackets(const Blackboard &board) -> bool
 {
     if (board.packets.flows.capacity() == 0) {
         return false;
@@ -60,8 +63,8 @@
            || now - board.packets.lastPacket < config::fabricQuiet;
 }
 
-/// Returns what is not finished; empty for nothing.
-auto unfinished(const Blackboard &board) -> std::string
+/// Returns a list of the unfinished work for the log; empty if all is finished.
+auto describeUnfinished(const Blackboard &board) -> std::string
 {
     std::string text;
     const auto add = [&](std::size_t count, const char *what) {
@@ -71,13 +74,14 @@
     };
     add(board.exchanges.size(), "requests");
     add(board.feeds.size(), "feeds");
-    add(heldCells(board), "cells");
-    add(takesPackets(board) ? 1 : 0, "fabric that still sends packets");
+    add(cellsToHandOver(board), "cells");
+    add(mayReceivePackets(board) ? 1 : 0, "fabric that still sends packets");
     return text;
 }
 
-/// Answers everything that is left, each with what is true of it.
-auto giveUp(Blackboard &board) -> void
+/// Refuses the remaining exchanges, each with the verdict that holds for it. Skips those whose
+/// answer has begun or whose caller has left.
+auto refuseRemaining(Blackboard &board) -> void
 {
     std::vector<ExchangeId> ids;
     for (const auto &[id, exchange] : board.exchanges.all()) {
@@ -92,7 +96,7 @@
     }
 }
 
-auto finish(Blackboard &board, const std::string &left) -> void
+auto finishStop(Blackboard &board, const std::string &left) -> void
 {
     board.stop.ready = true;
     board.log(LogEvent::Stopped, "left=\"" + left + "\"");
@@ -104,27 +108,27 @@
 auto StopController::handle(Blackboard &board, const Event &event) -> void
 {
     if (std::holds_alternative<StopRequested>(event)) {
-        begin(board);
+        beginStop(board);
     }
     if (!board.stop.stopping || board.stop.ready || !std::holds_alternative<Tick>(event)) {
         return;
     }
     const auto elapsed = board.now.mono - board.stop.since;
     if (!board.stop.closed && elapsed >= config::leaveNotice) {
-        this->closedAt = board.now.mono;
+        this->listenersClosedAt = board.now.mono;
         closeListeners(board);
     }
-    const auto left = unfinished(board);
+    const auto left = describeUnfinished(board);
     if (board.stop.closed && left.empty()
-        && board.now.mono - this->closedAt >= config::closeGrace) {
-        return finish(board, left);
+        && board.now.mono - this->listenersClosedAt >= config::closeGrace) {
+        return finishStop(board, left);
     }
     if (elapsed >= board.init.stopTimeout) {
-        giveUp(board);
-        return finish(board, left);
+        refuseRemaining(board);
+        return finishStop(board, left);
     }
-    if (board.now.mono - this->reported >= config::stopReportPeriod) {
-        this->reported = board.now.mono;
+    if (board.now.mono - this->lastReported >= config::stopReportPeriod) {
+        this->lastReported = board.now.mono;
         board.log(LogEvent::StopWaits, "for=\"" + left + "\"");
     }
 }
--- a/src/core/stop/stopcontroller.h
+++ b/src/core/stop/stopcontroller.h
@@ -1,4 +1,4 @@
-/// The orderly stop of a host.
+/// Controller of the graceful shutdown of a host.
 #pragma once
 
 #include <flamingograde/event.h>
@@ -7,19 +7,20 @@
 
 class Blackboard;
 
-/// Closes the listeners after a notice, waits until everything is finished, and says what was
-/// left if the wait became too long.
+/// Closes the listeners `config::leaveNotice` after the stop was requested, then waits until all
+/// work is finished. After the stop timeout it refuses the remaining requests and reports what was
+/// unfinished.
 /// @remarks Not thread safe. The membership controller announces the stop, the feed controller
 /// ends the feeds, and the tenure controller hands the cells over.
 class StopController
 {
 public:
-    /// Takes one event. Precondition: none.
+    /// Handles one event. Precondition: none.
     auto handle(Blackboard &board, const Event &event) -> void;
 
 private:
-    MonoTime closedAt; ///< When the listeners were closed.
-    MonoTime reported; ///< When the log last said what the stop waits for.
+    MonoTime listenersClosedAt; ///< When the listeners were closed.
+    MonoTime lastReported;      ///< When `StopWaits` was last logged.
 };
 
 } // namespace flamingograde
--- a/src/core/stop/stopstate.h
+++ b/src/core/stop/stopstate.h
@@ -1,17 +1,18 @@
-/// The orderly stop of this host.
+/// State of the graceful shutdown of this host.
 #pragma once
 
 #include <flamingograde/clock.h>
 
 namespace flamingograde {
 
-/// Whether and since when this host stops.
+/// Progress of the graceful shutdown.
 struct StopState
 {
-    bool stopping = false; ///< Asked to stop; takes no feeds once `closed`, nothing once `ready`.
+    bool stopping = false; ///< A stop was requested; feeds are refused once `closed`, everything
+                           ///< once `ready`.
     bool closed = false;   ///< The listeners are closed.
-    bool ready = false;    ///< `StopReady` was given.
-    MonoTime since;        ///< When it was asked.
+    bool ready = false;    ///< The stop is complete; `StopReady` was sent.
+    MonoTime since;        ///< When the stop was requested.
 };
 
 } // namespace flamingograde
--- a/tests/unit/outcometest.cpp
+++ b/tests/unit/outcometest.cpp
@@ -1,4 +1,4 @@
-/// What callers are told, at every progress of what was sent for them.
+/// Tests which result and verdict callers get, for each way in which a sent request can end.
 #include "sampletable.h"
 #include "virtualfleet.h"
 
@@ -9,15 +9,16 @@
 
 namespace {
 
-auto oneHost() -> VirtualFleet
+auto oneHostFleet() -> VirtualFleet
 {
     VirtualFleet fleet({ { "a1", "a" } }, oneZoneTable());
     fleet.settle();
     return fleet;
 }
 
-/// Returns how a request to `address` ends where every upstream behaves so.
-auto endOf(VirtualFleet &fleet, const std::string &address, Behaviour behaviour) -> CallerResult
+/// Returns the result of a request to `address` if every upstream shows `behaviour`.
+auto resultWith(VirtualFleet &fleet, const std::string &address, Behaviour behaviour)
+        -> CallerResult
 {
     fleet.behaviour = [behaviour](UpstreamId) { return behaviour; };
     const auto id = fleet.call(0, address, {}, address == voteAddress ? fleet.newKey() : "");
@@ -27,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("the verdict is true at every progress value")
+TEST_CASE("the verdict is correct for every upstream behaviour")
 {
     struct Case
     {
@@ -40,67 +41,68 @@
     const auto cases = {
         Case { voteAddress, Behaviour::Refuse, RefusalReason::NoUpstream, Verdict::NotRun, 0 },
         Case { voteAddress, Behaviour::Shed, RefusalReason::NoUpstream, Verdict::NotRun, 0 },
-        Case { voteAddress, Behaviour::Mistake, RefusalReason::NoUpstream, Verdict::NotRun, 0 },
-        Case { voteAddress, Behaviour::Late, RefusalReason::DeadlineUnmet, Verdict::Unknown, 0 },
-        Case { voteAddress, Behaviour::Lose, RefusalReason::Lost, Verdict::Unknown, 1 },
+        Case { voteAddress, Behaviour::Misdirect, RefusalReason::NoUpstream, Verdict::NotRun, 0 },
+        Case { voteAddress, Behaviour::GatewayTimeout, RefusalReason::DeadlineUnmet,
+               Verdict::Unknown, 0 },
+        Case { voteAddress, Behaviour::LoseConnection, RefusalReason::Lost, Verdict::Unknown, 1 },
         Case { voteAddress, Behaviour::Hold, RefusalReason::DeadlineUnmet, Verdict::Unknown, 1 },
         Case { readAddress, Behaviour::Refuse, RefusalReason::NoUpstream, Verdict::NotRun, 0 },
         Case { readAddress, Behaviour::Shed, RefusalReason::NoUpstream, Verdict::NotRun, 0 },
-        Case { readAddress, Behaviour::Lose, RefusalReason::Lost, Verdict::Unknown,
+        Case { readAddress, Behaviour::LoseConnection, RefusalReason::Lost, Verdict::Unknown,
                config::relayAttempts },
         Case { readAddress, Behaviour::Hold, RefusalReason::DeadlineUnmet, Verdict::Unknown, 1 },
     };
     for (const auto &it : cases) {
-        auto fleet = oneHost();
-        const auto end = endOf(fleet, it.address, it.behaviour);
+        auto fleet = oneHostFleet();
+        const auto result = resultWith(fleet, it.address, it.behaviour);
         INFO(it.address << " behaviour " << static_cast<int>(it.behaviour));
-        REQUIRE(end.refusal);
-        CHECK(toString(end.refusal->reason) == toString(it.reason));
-        CHECK(end.refusal->verdict == it.verdict);
+        REQUIRE(result.refusal);
+        CHECK(toString(result.refusal->reason) == toString(it.reason));
+        CHECK(result.refusal->verdict == it.verdict);
         CHECK(fleet.runs.size() == it.runs);
-        CHECK_FALSE(end.answered);
+        CHECK_FALSE(result.answered);
     }
 }
 
-TEST_CASE("an answer that breaks off is cut, never taken for whole")
+TEST_CASE("a truncated answer is aborted and never counted as complete")
 {
-    auto fleet = oneHost();
+    auto fleet = oneHostFleet();
     for (const auto *address : { voteAddress, readAddress }) {
-        const auto end = endOf(fleet, address, Behaviour::Break);
-        CHECK(end.aborted);
-        CHECK_FALSE(end.answered);
-        CHECK_FALSE(end.refusal);
+        const auto result = resultWith(fleet, address, Behaviour::Truncate);
+        CHECK(result.aborted);
+        CHECK_FALSE(result.answered);
+        CHECK_FALSE(result.refusal);
     }
     CHECK(fleet.runs.size() == 2);
 }
 
-TEST_CASE("a deadline that passes is answered at once, with the truth")
+TEST_CASE("a request past its deadline is refused within a tick, with the correct verdict")
 {
-    auto fleet = oneHost();
+    auto fleet = oneHostFleet();
     fleet.behaviour = [](UpstreamId) { return Behaviour::Hold; };
-    const auto begin = fleet.now().mono;
+    const auto start = fleet.now().mono;
     std::vector<ExchangeId> sent;
-    for (int i = 0; i < 6; ++i) { // Three upstreams of two slots.
+    for (int i = 0; i < 6; ++i) { // Fills three upstreams of two slots each.
         sent.push_back(fleet.call(0, voteAddress, {}, fleet.newKey(), 400ms));
     }
-    const auto waits = fleet.call(0, voteAddress, {}, fleet.newKey(), 300ms);
+    const auto queued = fleet.call(0, voteAddress, {}, fleet.newKey(), 300ms);
     fleet.advance(2s);
     CHECK(fleet.runs.size() == 6);
     for (const auto id : sent) {
         REQUIRE(fleet.result(id).refusal);
         CHECK(fleet.result(id).refusal->verdict == Verdict::Unknown);
-        CHECK(fleet.result(id).at - begin <= 400ms + config::tickPeriod);
+        CHECK(fleet.result(id).at - start <= 400ms + config::tickPeriod);
     }
-    REQUIRE(fleet.result(waits).refusal);
-    CHECK(fleet.result(waits).refusal->reason == RefusalReason::DeadlineUnmet);
-    CHECK(fleet.result(waits).refusal->verdict == Verdict::NotRun);
-    CHECK(fleet.result(waits).refusal->retryAfter > 0ms);
-    CHECK(fleet.result(waits).at - begin <= 300ms + config::tickPeriod);
+    REQUIRE(fleet.result(queued).refusal);
+    CHECK(fleet.result(queued).refusal->reason == RefusalReason::DeadlineUnmet);
+    CHECK(fleet.result(queued).refusal->verdict == Verdict::NotRun);
+    CHECK(fleet.result(queued).refusal->retryAfter > 0ms);
+    CHECK(fleet.result(queued).at - start <= 300ms + config::tickPeriod);
 }
 
-TEST_CASE("a caller's vote that is running runs on without it, and its repeat gets the answer")
+TEST_CASE("a running vote continues after its caller left, and a repeat of its key gets the answer")
 {
-    auto fleet = oneHost();
+    auto fleet = oneHostFleet();
     fleet.serviceTime = 500ms;
     const auto key = fleet.newKey();
     const auto first = fleet.call(0, voteAddress, {}, key);
@@ -113,7 +115,7 @@
     CHECK(fleet.host(0).stats().exchanges == 0);
 }
 
-TEST_CASE("a vote whose home is cut off is not sent there, and is told as not run")
+TEST_CASE("a vote whose home is unreachable is not relayed, and is refused as not run")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
@@ -131,13 +133,13 @@
     CHECK(fleet.host(0).stats().relayed == relayed);
 }
 
-TEST_CASE("idempotent requests leave a home that is given up; others wait for it")
+TEST_CASE("idempotent requests are retried when their home is declared dead; others wait for it")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "a2", "a" }, { "b1", "b" }, { "b2", "b" } },
                        sampleTable());
     fleet.settle();
     std::size_t home = 4;
-    while (home == 4) { // Find the home of "packs" in zone b.
+    while (home == 4) { // Find the host that is home of service "packs" in zone b.
         fleet.call(0, voteAddress, {}, "b." + fleet.newKey());
         fleet.advance(50ms);
         home = fleet.runs.back().host;
@@ -157,35 +159,35 @@
     fleet.resume(home);
     fleet.advance(1s);
     REQUIRE(fleet.result(vote).ends == 1);
-    const auto end = fleet.result(vote);
-    CHECK((end.answered || end.refusal->verdict == Verdict::Unknown));
+    const auto result = fleet.result(vote);
+    CHECK((result.answered || result.refusal->verdict == Verdict::Unknown));
 }
 
-TEST_CASE("arrivals out of bounds are refused as not run")
+TEST_CASE("invalid requests are refused as not run")
 {
-    auto fleet = oneHost();
-    const auto refusalOf = [&](CallerArrived arrived) {
+    auto fleet = oneHostFleet();
+    const auto refusalReasonFor = [&](CallerArrived arrived) {
         arrived.exchange = ExchangeId(1'000'000 + fleet.host(0).stats().callersArrived);
         fleet.give(0, arrived);
-        const auto end = fleet.result(arrived.exchange);
-        REQUIRE(end.refusal);
-        CHECK(end.refusal->verdict == Verdict::NotRun);
-        return end.refusal->reason;
+        const auto result = fleet.result(arrived.exchange);
+        REQUIRE(result.refusal);
+        CHECK(result.refusal->verdict == Verdict::NotRun);
+        return result.refusal->reason;
     };
     CallerArrived arrived;
     arrived.address = *Address::parse("10.9.0.9:80");
-    CHECK(refusalOf(arrived) == RefusalReason::UnknownService);
+    CHECK(refusalReasonFor(arrived) == RefusalReason::UnknownService);
     arrived.address = *Address::parse(voteAddress);
     arrived.bodyBytes = (1U << 20U) + 1;
-    CHECK(refusalOf(arrived) == RefusalReason::TooLarge);
+    CHECK(refusalReasonFor(arrived) == RefusalReason::TooLarge);
     arrived.bodyBytes = 0;
     arrived.key = "two words";
-    CHECK(refusalOf(arrived) == RefusalReason::BadKey);
+    CHECK(refusalReasonFor(arrived) == RefusalReason::BadKey);
     std::mt19937_64 random(1);
     arrived.key = "0fffffff-ffff-7000-8000-000000000000";
-    CHECK(refusalOf(arrived) == RefusalReason::BadKey);
+    CHECK(refusalReasonFor(arrived) == RefusalReason::BadKey);
     arrived.key.clear();
     arrived.token = "forged";
-    CHECK(refusalOf(arrived) == RefusalReason::BadToken);
+    CHECK(refusalReasonFor(arrived) == RefusalReason::BadToken);
     CHECK(fleet.runs.empty());
 }
--- a/tests/unit/stoptest.cpp
+++ b/tests/unit/stoptest.cpp
@@ -1,4 +1,4 @@
-/// An orderly stop finishes everything, or says what was left.
+/// Tests that a graceful shutdown finishes all work or reports what was unfinished.
 #include "sampletable.h"
 #include "virtualfleet.h"
 
@@ -7,7 +7,7 @@
 using namespace flamingograde;
 using namespace std::chrono_literals;
 
-TEST_CASE("a stop finishes requests, moves feeds and cuts nothing")
+TEST_CASE("a stop finishes its requests and ends its feeds without aborting any answer")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "a2", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
@@ -35,10 +35,10 @@
     }
     REQUIRE(fleet.stopped.count(0) == 1);
     CHECK(fleet.stopped.at(0).empty());
-    CHECK(fleet.unlistened.size() == 4);
+    CHECK(fleet.closedListeners.size() == 4);
 }
 
-TEST_CASE("a stop that takes too long answers what is left and says so")
+TEST_CASE("a stop that times out refuses the remaining requests and reports them")
 {
     VirtualFleet fleet({ { "a1", "a" } }, longDeadlineTable());
     fleet.settle();
@@ -53,14 +53,14 @@
     CHECK(fleet.result(held).refusal->verdict == Verdict::Unknown);
 }
 
-TEST_CASE("a host that has closed its listeners serves requests of old connections, but no feeds")
+TEST_CASE("a host with closed listeners serves requests on open connections but refuses feeds")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "a2", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
     fleet.give(0, StopRequested {});
     fleet.advance(config::leaveNotice + 100ms);
     fleet.serviceTime = 300ms;
-    fleet.call(0, readAddress); // Keeps the host from ending.
+    fleet.call(0, readAddress); // Keeps the stop from completing.
     const auto vote = fleet.call(0, voteAddress, {}, fleet.newKey());
     const auto feed = fleet.call(0, feedAddress);
     REQUIRE(fleet.result(feed).refusal);
@@ -76,7 +76,7 @@
     CHECK(fleet.result(late).refusal->verdict == Verdict::NotRun);
 }
 
-TEST_CASE("feeds keep their upstream while every host is replaced in turn")
+TEST_CASE("feeds return to their upstream while all hosts are restarted one after another")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "a2", "a" }, { "b1", "b" }, { "b2", "b" } },
                        sampleTable());
--- a/tests/unit/tokentest.cpp
+++ b/tests/unit/tokentest.cpp
@@ -1,4 +1,4 @@
-/// Flow tokens: what is accepted and what is not.
+/// Tests which flow tokens are accepted and which are rejected.
 #include "core/requests/token.h"
 
 #include <catch2/catch.hpp>
@@ -22,19 +22,19 @@
 
 } // namespace
 
-TEST_CASE("a token comes back as it was signed")
+TEST_CASE("verifying a signed token returns its content")
 {
     const auto key = keyOf(1, 0xab, true);
     const auto text = signToken(sample, key);
     CHECK(text.size() == tokenTextBytes);
-    const auto read = verifyToken(text, { key });
-    REQUIRE(read);
-    CHECK(read->service == sample.service);
-    CHECK(read->upstream == sample.upstream);
-    CHECK(read->flow == sample.flow);
+    const auto verified = verifyToken(text, { key });
+    REQUIRE(verified);
+    CHECK(verified->service == sample.service);
+    CHECK(verified->upstream == sample.upstream);
+    CHECK(verified->flow == sample.flow);
 }
 
-TEST_CASE("each changed character of a token is noticed")
+TEST_CASE("a token with any character changed is rejected")
 {
     const auto key = keyOf(1, 0xab, true);
     const auto text = signToken(sample, key);
@@ -49,15 +49,15 @@
     }
 }
 
-TEST_CASE("malformed tokens are refused")
+TEST_CASE("malformed tokens are rejected")
 {
     const auto key = keyOf(1, 0xab, true);
     const auto text = signToken(sample, key);
     for (const auto &bad : { std::string(), text.substr(1), text + "A", std::string(56, 'A'),
                              std::string(56, '\0'), std::string(100000, 'x') }) {
-        const auto read = verifyToken(bad, { key });
-        REQUIRE_FALSE(read);
-        CHECK(read.error() == TokenFault::Malformed);
+        const auto verified = verifyToken(bad, { key });
+        REQUIRE_FALSE(verified);
+        CHECK(verified.error() == TokenFault::Malformed);
     }
     std::mt19937_64 random(5);
     for (int i = 0; i < 2000; ++i) {
@@ -69,18 +69,18 @@
     }
 }
 
-TEST_CASE("tokens live through a change of keys and end with their key")
+TEST_CASE("a token is valid through a key rotation until its key is removed")
 {
-    const auto old = keyOf(1, 0xab, true);
-    const auto next = keyOf(2, 0xcd, true);
-    const auto retired = keyOf(1, 0xab, false);
-    const auto text = signToken(sample, old);
-    CHECK(verifyToken(text, { old, keyOf(2, 0xcd, false) }));
-    CHECK(verifyToken(text, { retired, next }));
-    CHECK(signingKey({ retired, next })->id == 2);
-    const auto gone = verifyToken(text, { next });
-    REQUIRE_FALSE(gone);
-    CHECK(gone.error() == TokenFault::UnknownKey);
+    const auto oldKey = keyOf(1, 0xab, true);
+    const auto newKey = keyOf(2, 0xcd, true);
+    const auto verifyOnly = keyOf(1, 0xab, false);
+    const auto text = signToken(sample, oldKey);
+    CHECK(verifyToken(text, { oldKey, keyOf(2, 0xcd, false) }));
+    CHECK(verifyToken(text, { verifyOnly, newKey }));
+    CHECK(signingKey({ verifyOnly, newKey })->id == 2);
+    const auto unknown = verifyToken(text, { newKey });
+    REQUIRE_FALSE(unknown);
+    CHECK(unknown.error() == TokenFault::UnknownKey);
     const auto forged = verifyToken(text, { keyOf(1, 0xee, true) });
     REQUIRE_FALSE(forged);
     CHECK(forged.error() == TokenFault::Forged);
--- a/tests/unit/virtualfleet.cpp
+++ b/tests/unit/virtualfleet.cpp
@@ -1,4 +1,4 @@
-/// Carries out the actions of hosts in virtual time.
+/// Performs the actions of hosts in virtual time.
 #include "virtualfleet.h"
 
 #include "core/keys/idempotencykey.h"
@@ -13,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration oneWay = 500us;
-constexpr auto startOfTime = WallTime(Duration(1'800'000'000s));
+constexpr Duration oneWayDelay = 500us;
+constexpr auto initialWallTime = WallTime(Duration(1'800'000'000s));
 
 auto statusHead(int status, bool shed = false) -> AnswerHead
 {
@@ -31,7 +31,7 @@
                            std::string text, Policy policy)
     : table(std::move(text))
 {
-    this->clock = { MonoTime(Duration(100s)), startOfTime };
+    this->clock = { MonoTime(Duration(100s)), initialWallTime };
     this->publishedAt[this->revision.number] = this->clock.mono;
     std::uint16_t port = 1;
     for (const auto &[name, zone] : names) {
@@ -74,8 +74,8 @@
     ++this->revision.number;
     this->publishedAt[this->revision.number] = this->clock.mono;
     for (std::size_t i = 0; i < this->hosts.size(); ++i) {
-        if (this->blind.count(i) == 0 && this->hosts[i].watch) {
-            this->hosts[i].watch.reset();
+        if (this->blind.count(i) == 0 && this->hosts[i].watchedRevision) {
+            this->hosts[i].watchedRevision.reset();
             this->sendTable(i);
         }
     }
@@ -83,22 +83,22 @@
 
 auto VirtualFleet::sendTable(std::size_t host) -> void
 {
-    const TableFetched fetched { this->revision, this->table, this->publishedWall() };
+    const TableFetched fetched { this->revision, this->table, this->publishedWallTime() };
     const auto delay = this->tableDelay(host, this->revision);
-    if (delay <= oneWay) {
+    if (delay <= oneWayDelay) {
         return this->give(host, fetched);
     }
-    this->later(delay, [=] { this->give(host, fetched); });
+    this->schedule(delay, [=] { this->give(host, fetched); });
 }
 
-auto VirtualFleet::publishedWall() const -> std::optional<WallTime>
+auto VirtualFleet::publishedWallTime() const -> std::optional<WallTime>
 {
     const auto found = this->publishedAt.find(this->revision.number);
     if (!this->tellsPublished || found == this->publishedAt.end()) {
         return std::nullopt;
     }
-    const auto exact = this->clock.wall - (this->clock.mono - found->second);
-    return std::chrono::floor<std::chrono::seconds>(exact);
+    const auto exactTime = this->clock.wall - (this->clock.mono - found->second);
+    return std::chrono::floor<std::chrono::seconds>(exactTime);
 }
 
 auto VirtualFleet::tableDelay(std::size_t host, Revision of) const -> Duration
@@ -106,9 +106,9 @@
     const auto lag = this->tableLag.find(host);
     const auto published = this->publishedAt.find(of.number);
     if (lag == this->tableLag.end() || published == this->publishedAt.end()) {
-        return oneWay;
+        return oneWayDelay;
     }
-    return std::max(oneWay, published->second + lag->second - this->clock.mono);
+    return std::max(oneWayDelay, published->second + lag->second - this->clock.mono);
 }
 
 auto VirtualFleet::give(std::size_t host, Event event) -> void
@@ -120,9 +120,9 @@
         this->hosts[host].backlog.push_back([this, host, event] { this->give(host, event); });
         return;
     }
-    auto reading = this->clock;
-    reading.wall += this->skews[host];
-    const auto actions = this->hosts[host].balancer->handle(reading, std::move(event));
+    auto hostNow = this->clock;
+    hostNow.wall += this->skews[host];
+    const auto actions = this->hosts[host].balancer->handle(hostNow, std::move(event));
     for (const auto &action : actions) {
         this->perform(host, action);
     }
@@ -149,9 +149,9 @@
     for (std::size_t i = 0; i < this->hosts.size(); ++i) {
         this->give(i, PeerDown { this->hosts[host].member.id, PeerLoss::Closed });
     }
-    for (const auto &[exchange, sender] : this->senders) {
+    for (const auto &[exchange, sender] : this->relaySenders) {
         if (sender.home == host) {
-            this->later(oneWay, [this, to = sender] {
+            this->schedule(oneWayDelay, [this, to = sender] {
                 this->progress(to.host, to.exchange, to.attempt, Progress::Lost);
             });
         }
@@ -164,7 +164,7 @@
     ++restarted.init.seed;
     restarted.balancer = std::make_unique<Balancer>(restarted.init);
     restarted.dead = false;
-    restarted.watch.reset();
+    restarted.watchedRevision.reset();
     this->stopped.erase(host);
 }
 
@@ -190,7 +190,7 @@
 
 auto VirtualFleet::newKey() -> std::string
 {
-    std::mt19937_64 random(++this->lastKey);
+    std::mt19937_64 random(++this->lastKeySeed);
     return makeUuidV7(random, this->clock.wall);
 }
 
@@ -201,9 +201,9 @@
                           [&](const UpstreamRun &run) { return run.key == key; }));
 }
 
-auto VirtualFleet::later(Duration delay, std::function<void()> run) -> void
+auto VirtualFleet::schedule(Duration delay, std::function<void()> run) -> void
 {
-    this->pending.push({ this->clock.mono + delay, ++this->order, std::move(run) });
+    this->pending.push({ this->clock.mono + delay, ++this->sequence, std::move(run) });
 }
 
 auto VirtualFleet::indexOf(HostId id) const -> std::size_t
@@ -213,18 +213,20 @@
     return static_cast<std::size_t>(found - this->hosts.begin());
 }
 
-auto VirtualFleet::isCut(std::size_t a, std::size_t b) const -> bool
+auto VirtualFleet::isDisconnected(std::size_t a, std::size_t b) const -> bool
 {
-    const auto isSplit = this->split.count(a) != this->split.count(b);
-    return this->hosts[b].dead || isSplit || this->mute.count(a) > 0 || this->mute.count(b) > 0;
+    const auto isPartitioned = this->split.count(a) != this->split.count(b);
+    return this->hosts[b].dead || isPartitioned || this->mute.count(a) > 0
+           || this->mute.count(b) > 0;
 }
 
 auto VirtualFleet::progress(std::size_t host, ExchangeId exchange, std::uint32_t attempt,
-                            Progress progress, std::optional<AnswerHead> head, bool keep) -> void
+                            Progress progress, std::optional<AnswerHead> head, bool keepAnswer)
+        -> void
 {
     if (this->hosts[host].paused) {
         this->hosts[host].backlog.push_back(
-                [=] { this->progress(host, exchange, attempt, progress, head, keep); });
+                [=] { this->progress(host, exchange, attempt, progress, head, keepAnswer); });
         return;
     }
     ExchangeProgress event;
@@ -232,35 +234,35 @@
     event.attempt = attempt;
     event.progress = progress;
     event.head = head;
-    if (keep) {
+    if (keepAnswer) {
         event.whole = std::make_shared<const std::string>("kept");
     }
     this->give(host, event);
-    const auto isOver = progress == Progress::Answered || progress == Progress::Cut;
-    if (!isOver || this->hosts[host].dead || this->tellSender(exchange, progress)) {
+    const auto isFinal = progress == Progress::Answered || progress == Progress::Cut;
+    if (!isFinal || this->hosts[host].dead || this->notifySender(exchange, progress)) {
         return;
     }
     const auto &result = this->results[exchange];
     if (progress == Progress::Answered && result.headed && result.ends == 0) {
-        this->end(exchange).answered = true;
+        this->recordEnd(exchange).answered = true;
         this->feeds.erase(exchange);
     }
 }
 
-auto VirtualFleet::tellSender(ExchangeId exchange, Progress progress,
-                              std::optional<AnswerHead> head) -> bool
+auto VirtualFleet::notifySender(ExchangeId exchange, Progress progress,
+                                std::optional<AnswerHead> head) -> bool
 {
-    const auto *sender = this->senderOf(exchange);
+    const auto *sender = this->relaySenderOf(exchange);
     if (sender == nullptr) {
         return false;
     }
-    if (!this->isCut(sender->home, sender->host)) {
+    if (!this->isDisconnected(sender->home, sender->host)) {
         this->progress(sender->host, sender->exchange, sender->attempt, progress, head);
     }
     return true;
 }
 
-auto VirtualFleet::end(ExchangeId exchange) -> CallerResult &
+auto VirtualFleet::recordEnd(ExchangeId exchange) -> CallerResult &
 {
     auto &result = this->results[exchange];
     ++result.ends;
@@ -278,22 +280,22 @@
                     [&](const ConnectPeer &it) { this->on(host, it); },
                     [&](const SendPeer &it) { this->on(host, it); },
                     [&](const ReadTable &it) { this->on(host, it); },
-                    [&](const PassAnswer &it) { this->passAnswer(host, it); },
-                    [&](const Refuse &it) { this->refused(host, it); },
+                    [&](const PassAnswer &it) { this->onPassAnswer(host, it); },
+                    [&](const Refuse &it) { this->onRefuse(host, it); },
                     [&](const ReplayAnswer &it) {
-                        if (this->tellSender(it.exchange, Progress::Answering, statusHead(200))) {
-                            this->tellSender(it.exchange, Progress::Answered);
+                        if (this->notifySender(it.exchange, Progress::Answering, statusHead(200))) {
+                            this->notifySender(it.exchange, Progress::Answered);
                             return;
                         }
-                        this->end(it.exchange).replayed = true;
+                        this->recordEnd(it.exchange).replayed = true;
                     },
                     [&](const AbortAnswer &it) {
-                        if (!this->tellSender(it.exchange, Progress::Cut)) {
-                            this->end(it.exchange).aborted = true;
+                        if (!this->notifySender(it.exchange, Progress::Cut)) {
+                            this->recordEnd(it.exchange).aborted = true;
                         }
                     },
                     [&](const EndFeed &it) {
-                        this->later(oneWay, [this, host, id = it.exchange] {
+                        this->schedule(oneWayDelay, [this, host, id = it.exchange] {
                             this->progress(host, id, this->attempts[id], Progress::Answered);
                         });
                     },
@@ -305,9 +307,12 @@
                         for (const auto &other : this->hosts) {
                             fetched.hosts.push_back(other.member);
                         }
-                        this->later(oneWay, [this, host, fetched] { this->give(host, fetched); });
+                        this->schedule(oneWayDelay,
+                                       [this, host, fetched] { this->give(host, fetched); });
+                    },
+                    [&](const Unlisten &it) {
+                        this->closedListeners.emplace_back(host, it.address);
                     },
-                    [&](const Unlisten &it) { this->unlistened.emplace_back(host, it.address); },
                     [&](const StopReady &it) { this->stopped[host] = it.left; },
                     [](const auto &) {},
             },
@@ -318,46 +323,46 @@
 {
     const auto report = [=](Duration delay, Progress progress,
                             std::optional<AnswerHead> head = {}) {
-        this->later(delay, [=] {
+        this->schedule(delay, [=] {
             this->progress(host, action.exchange, action.attempt, progress, head,
                            progress == Progress::Answered && action.keepAnswer);
         });
     };
     const auto behaviour = this->behaviour(action.upstream);
     if (behaviour == Behaviour::Refuse) {
-        return report(oneWay, Progress::NotSent);
+        return report(oneWayDelay, Progress::NotSent);
     }
     if (behaviour == Behaviour::Shed) {
-        return report(oneWay, Progress::Answering, statusHead(503, true));
+        return report(oneWayDelay, Progress::Answering, statusHead(503, true));
     }
-    if (behaviour == Behaviour::Mistake) {
-        return report(oneWay, Progress::Answering, statusHead(421));
+    if (behaviour == Behaviour::Misdirect) {
+        return report(oneWayDelay, Progress::Answering, statusHead(421));
     }
-    if (behaviour == Behaviour::Late) {
-        return report(oneWay, Progress::Answering, statusHead(504));
+    if (behaviour == Behaviour::GatewayTimeout) {
+        return report(oneWayDelay, Progress::Answering, statusHead(504));
     }
     this->runs.push_back({ action.upstream, action.key, action.service, action.exchange, host });
-    if (behaviour == Behaviour::Lose) {
-        return report(oneWay, Progress::Lost);
+    if (behaviour == Behaviour::LoseConnection) {
+        return report(oneWayDelay, Progress::Lost);
     }
     if (behaviour == Behaviour::Hold) {
         return;
     }
     report(this->serviceTime, Progress::Answering, statusHead(200));
     report(this->serviceTime + 1ms,
-           behaviour == Behaviour::Break ? Progress::Cut : Progress::Answered);
+           behaviour == Behaviour::Truncate ? Progress::Cut : Progress::Answered);
 }
 
 auto VirtualFleet::on(std::size_t host, const Relay &action) -> void
 {
     const auto to = this->indexOf(action.host);
-    if (this->isCut(host, to)) {
-        return this->later(oneWay, [=] {
+    if (this->isDisconnected(host, to)) {
+        return this->schedule(oneWayDelay, [=] {
             this->progress(host, action.exchange, action.attempt, Progress::NotSent);
         });
     }
     const ExchangeId id(++this->lastExchange);
-    this->senders[id] = { host, action.exchange, action.attempt, to };
+    this->relaySenders[id] = { host, action.exchange, action.attempt, to };
     RelayArrived arrived;
     arrived.exchange = id;
     arrived.from = this->hosts[host].member.id;
@@ -366,7 +371,7 @@
     arrived.upstream = action.upstream;
     arrived.key = action.key;
     arrived.remaining = action.remaining;
-    this->later(oneWay, [=] { this->give(to, arrived); });
+    this->schedule(oneWayDelay, [=] { this->give(to, arrived); });
 }
 
 auto VirtualFleet::on(std::size_t host, const OpenFeed &action) -> void
@@ -374,7 +379,7 @@
     const UpstreamRun run { action.upstream, {}, action.service, action.exchange, host };
     this->attempts[action.exchange] = action.attempt;
     const auto behaviour = this->behaviour(action.upstream);
-    this->later(oneWay, [=] {
+    this->schedule(oneWayDelay, [=] {
         if (behaviour == Behaviour::Answer) {
             this->opened.push_back(run);
             this->feeds[action.exchange] = run;
@@ -392,8 +397,8 @@
 auto VirtualFleet::on(std::size_t host, const ConnectPeer &action) -> void
 {
     const auto to = this->indexOf(action.host);
-    this->later(oneWay, [=] {
-        if (this->isCut(host, to)) {
+    this->schedule(oneWayDelay, [=] {
+        if (this->isDisconnected(host, to)) {
             const auto loss = this->hosts[to].dead ? PeerLoss::Refused : PeerLoss::Silent;
             return this->give(host, PeerDown { action.host, loss });
         }
@@ -405,12 +410,12 @@
 auto VirtualFleet::on(std::size_t host, const SendPeer &action) -> void
 {
     const auto to = this->indexOf(action.host);
-    if (this->isCut(host, to)) {
+    if (this->isDisconnected(host, to)) {
         return;
     }
     const auto *body = std::get_if<TableBody>(&action.message);
-    const auto delay = body == nullptr ? oneWay : this->tableDelay(to, body->revision);
-    this->later(delay, [=] {
+    const auto delay = body == nullptr ? oneWayDelay : this->tableDelay(to, body->revision);
+    this->schedule(delay, [=] {
         this->give(to, PeerMessage { this->hosts[host].member.id, action.message });
     });
 }
@@ -418,15 +423,15 @@
 auto VirtualFleet::on(std::size_t host, const ReadTable &action) -> void
 {
     if (this->blind.count(host) > 0) {
-        return this->later(oneWay, [=] {
-            this->give(host, PlatformFailed { PlatformRead::Table, "blind" });
+        return this->schedule(oneWayDelay, [=] {
+            this->give(host, PlatformFailed { PlatformRead::Table, "platform unreachable" });
         });
     }
     if (action.after == this->revision && action.wait > Duration::zero()) {
-        this->hosts[host].watch = action.after;
+        this->hosts[host].watchedRevision = action.after;
         return;
     }
-    this->later(oneWay, [=] {
+    this->schedule(oneWayDelay, [=] {
         if (action.after == this->revision) {
             return this->give(host, TableUnchanged { this->revision });
         }
@@ -434,9 +439,9 @@
     });
 }
 
-auto VirtualFleet::passAnswer(std::size_t, const PassAnswer &action) -> void
+auto VirtualFleet::onPassAnswer(std::size_t, const PassAnswer &action) -> void
 {
-    const auto *sender = this->senderOf(action.exchange);
+    const auto *sender = this->relaySenderOf(action.exchange);
     if (sender == nullptr) {
         this->results[action.exchange].headed = true;
         if (!action.setToken.empty()) {
@@ -447,13 +452,13 @@
     if (!action.setToken.empty()) {
         this->results[sender->exchange].token = action.setToken;
     }
-    this->tellSender(action.exchange, Progress::Answering, statusHead(200));
+    this->notifySender(action.exchange, Progress::Answering, statusHead(200));
 }
 
-auto VirtualFleet::refused(std::size_t, const Refuse &action) -> void
+auto VirtualFleet::onRefuse(std::size_t, const Refuse &action) -> void
 {
-    if (this->senderOf(action.exchange) == nullptr) {
-        this->end(action.exchange).refusal = action.refusal;
+    if (this->relaySenderOf(action.exchange) == nullptr) {
+        this->recordEnd(action.exchange).refusal = action.refusal;
         return;
     }
     AnswerHead head;
@@ -461,15 +466,15 @@
     head.reason = action.refusal.reason;
     head.verdict = action.refusal.verdict;
     head.retryAfter = action.refusal.retryAfter;
-    this->later(oneWay, [this, id = action.exchange, head] {
-        this->tellSender(id, Progress::Answering, head);
+    this->schedule(oneWayDelay, [this, id = action.exchange, head] {
+        this->notifySender(id, Progress::Answering, head);
     });
 }
 
-auto VirtualFleet::senderOf(ExchangeId exchange) const -> const Sender *
+auto VirtualFleet::relaySenderOf(ExchangeId exchange) const -> const RelaySender *
 {
-    const auto found = this->senders.find(exchange);
-    return found == this->senders.end() ? nullptr : &found->second;
+    const auto found = this->relaySenders.find(exchange);
+    return found == this->relaySenders.end() ? nullptr : &found->second;
 }
 
 } // namespace flamingograde
--- a/tests/unit/virtualfleet.h
+++ b/tests/unit/virtualfleet.h
@@ -1,4 +1,5 @@
-/// Several hosts in virtual time: fakes of the transport, the platform, callers and upstreams.
+/// Test fixture that runs several hosts in virtual time, with fakes of the transport, the platform,
+/// the callers and the upstreams.
 #pragma once
 
 #include <flamingograde/balancer.h>
@@ -15,32 +16,33 @@
 
 namespace flamingograde {
 
-/// What an upstream does with a request or feed.
+/// How a fake upstream responds to a request. For feeds only `Answer` and `Shed` have effects of
+/// their own; with any other value the feed is reported as not sent.
 enum class Behaviour : std::uint8_t {
-    Answer,  ///< Answers after the service time.
-    Hold,    ///< Takes it and never answers.
-    Refuse,  ///< Cannot be reached: nothing is sent.
-    Lose,    ///< Runs it and loses the connection.
-    Shed,    ///< Says 503 with Retry-After.
-    Mistake, ///< Says 421: not its service.
-    Late,    ///< Says 504: the deadline has passed.
-    Break,   ///< Begins the answer and breaks it off.
+    Answer,         ///< Answers with 200 after the service time.
+    Hold,           ///< Runs it and never answers.
+    Refuse,         ///< Is unreachable: nothing is sent.
+    LoseConnection, ///< Runs it, then loses the connection before the answer.
+    Shed,           ///< Answers 503 with Retry-After, without running it.
+    Misdirect,      ///< Answers 421: it does not serve the service.
+    GatewayTimeout, ///< Answers 504: the deadline has passed.
+    Truncate,       ///< Runs it, begins the answer and cuts it off.
 };
 
-/// What a caller got.
+/// Result that a caller received.
 struct CallerResult
 {
     std::optional<Refusal> refusal;
     std::string token;
-    bool headed = false;   ///< An answer began.
-    bool answered = false; ///< It came whole.
-    bool replayed = false; ///< It was a kept answer.
-    bool aborted = false;  ///< It broke off.
-    int ends = 0;          ///< How often it ended; 1 but for callers of a killed host.
-    MonoTime at;           ///< When it last ended.
+    bool headed = false;   ///< The head of an answer arrived.
+    bool answered = false; ///< The answer arrived complete.
+    bool replayed = false; ///< The answer was a stored one, replayed for a repeated key.
+    bool aborted = false;  ///< The answer was aborted.
+    int ends = 0;          ///< Number of results; 1 unless the caller's host was killed.
+    MonoTime at;           ///< Time of the last result.
 };
 
-/// A request that came to an upstream.
+/// A request or feed that arrived at an upstream.
 struct UpstreamRun
 {
     UpstreamId upstream;
@@ -50,33 +52,33 @@
     std::size_t host = 0;
 };
 
-/// Runs `Balancer`s against fakes. Deterministic.
+/// Fleet of `Balancer`s that run against fakes. Deterministic.
 class VirtualFleet
 {
 public:
-    /// @param hosts name and zone of each.
+    /// @param hosts name and zone of each host.
     VirtualFleet(const std::vector<std::pair<std::string, std::string>> &hosts, std::string table,
                  Policy policy = Policy::CellHome);
 
-    /// Lets time pass, with ticks, until everything is connected.
+    /// Advances the time by 4 s, enough for all hosts to connect and read the table.
     auto settle() -> void { this->advance(std::chrono::seconds(4)); }
     auto advance(Duration duration) -> void;
-    /// Puts a new table on the platform.
+    /// Publishes a new table on the platform.
     auto publish(std::string table) -> void;
-    /// Gives `event` to a host now and carries out what it decides.
+    /// Passes `event` to a host now and performs the resulting actions.
     auto give(std::size_t host, Event event) -> void;
-    /// Has a caller send a request or open a feed. @returns the exchange.
+    /// Sends a caller's request or feed to a host. @returns its exchange.
     auto call(std::size_t host, const std::string &address, const std::string &token = {},
               const std::string &key = {}, Duration timeout = Duration { 0 }) -> ExchangeId;
-    /// Breaks the upstream connection of an open feed.
+    /// Closes the upstream connection of an open feed.
     auto cutFeed(ExchangeId feed) -> void;
-    /// Stops a host at once: its connections are refused from now on.
+    /// Crashes a host: its peer connections close, and new ones are refused.
     auto kill(std::size_t host) -> void;
-    /// Starts a killed host anew, with nothing but its settings.
+    /// Restarts a killed host with its settings and no other state.
     auto restart(std::size_t host) -> void;
-    /// Freezes a host: its events wait for `resume`.
+    /// Freezes a host: its events are queued until `resume`.
     auto pause(std::size_t host) -> void { this->hosts[host].paused = true; }
-    /// Lets a frozen host go on, with all that has come meanwhile.
+    /// Resumes a frozen host and delivers the events queued meanwhile.
     auto resume(std::size_t host) -> void;
 
     [[nodiscard]] auto result(ExchangeId exchange) const -> CallerResult;
@@ -84,24 +86,26 @@
     {
         return *this->hosts[index].balancer;
     }
-    /// Returns a UUIDv7 made now.
+    /// Returns a new UUIDv7 of the current time.
     [[nodiscard]] auto newKey() -> std::string;
     [[nodiscard]] auto runsOf(const std::string &key) const -> std::size_t;
     [[nodiscard]] auto now() const -> Now { return this->clock; }
 
     std::function<Behaviour(UpstreamId)> behaviour = [](UpstreamId) { return Behaviour::Answer; };
     Duration serviceTime = std::chrono::milliseconds(20);
-    std::map<std::size_t, Duration> skews; ///< Of hosts' wall clocks against callers'.
-    std::set<std::size_t> blind;           ///< Hosts that the platform does not answer.
-    std::set<std::size_t> mute;            ///< Hosts cut off from all other hosts.
-    std::set<std::size_t> split; ///< Hosts cut off from the others, but not from each other.
-    bool tellsPublished = true;  ///< The platform tells when a table was published, in seconds.
-    std::map<std::size_t, Duration> tableLag; ///< How much later a host gets each new table.
+    std::map<std::size_t, Duration> skews; ///< Offset of hosts' wall clocks from the callers'.
+    std::set<std::size_t> blind;           ///< Hosts that get no answer from the platform.
+    std::set<std::size_t> mute;            ///< Hosts disconnected from all other hosts.
+    std::set<std::size_t> split; ///< Hosts in one partition, disconnected from all hosts outside.
+    bool tellsPublished = true;  ///< The platform reports a table's publication time, in seconds.
+    std::map<std::size_t, Duration>
+            tableLag; ///< Time after publication at which a host gets a table.
     std::vector<UpstreamRun> runs;
-    std::vector<UpstreamRun> opened; ///< Feeds opened, in order.
+    std::vector<UpstreamRun> opened; ///< Accepted feed openings, in order.
     std::map<ExchangeId, UpstreamRun> feeds;
-    std::map<std::size_t, std::string> stopped; ///< Hosts that are ready to end.
-    std::vector<std::pair<std::size_t, Address>> unlistened;
+    std::map<std::size_t, std::string>
+            stopped; ///< Unfinished work reported by hosts at `StopReady`.
+    std::vector<std::pair<std::size_t, Address>> closedListeners;
 
 private:
     struct Host
@@ -111,21 +115,21 @@
         std::unique_ptr<Balancer> balancer;
         bool dead = false;
         bool paused = false;
-        std::optional<Revision> watch;
+        std::optional<Revision> watchedRevision;
         std::vector<std::function<void()>> backlog;
     };
     struct Pending
     {
         MonoTime at;
-        std::uint64_t order = 0;
+        std::uint64_t sequence = 0;
         std::function<void()> run;
         friend auto operator<(const Pending &a, const Pending &b) -> bool
         {
-            return a.at != b.at ? a.at > b.at : a.order > b.order;
+            return a.at != b.at ? a.at > b.at : a.sequence > b.sequence;
         }
     };
-    /// Where a relayed request came from.
-    struct Sender
+    /// Host and exchange from which a relayed request was sent.
+    struct RelaySender
     {
         std::size_t host = 0;
         ExchangeId exchange;
@@ -133,11 +137,11 @@
         std::size_t home = 0;
     };
 
-    auto later(Duration delay, std::function<void()> run) -> void;
+    auto schedule(Duration delay, std::function<void()> run) -> void;
     [[nodiscard]] auto indexOf(HostId id) const -> std::size_t;
-    [[nodiscard]] auto isCut(std::size_t a, std::size_t b) const -> bool;
+    [[nodiscard]] auto isDisconnected(std::size_t a, std::size_t b) const -> bool;
     auto progress(std::size_t host, ExchangeId exchange, std::uint32_t attempt, Progress progress,
-                  std::optional<AnswerHead> head = {}, bool keep = false) -> void;
+                  std::optional<AnswerHead> head = {}, bool keepAnswer = false) -> void;
     auto perform(std::size_t host, const Action &action) -> void;
     auto on(std::size_t host, const Dispatch &action) -> void;
     auto on(std::size_t host, const Relay &action) -> void;
@@ -145,29 +149,30 @@
     auto on(std::size_t host, const ConnectPeer &action) -> void;
     auto on(std::size_t host, const SendPeer &action) -> void;
     auto on(std::size_t host, const ReadTable &action) -> void;
-    auto passAnswer(std::size_t host, const PassAnswer &action) -> void;
-    auto refused(std::size_t host, const Refuse &action) -> void;
-    auto tellSender(ExchangeId exchange, Progress progress, std::optional<AnswerHead> head = {})
+    auto onPassAnswer(std::size_t host, const PassAnswer &action) -> void;
+    auto onRefuse(std::size_t host, const Refuse &action) -> void;
+    auto notifySender(ExchangeId exchange, Progress progress, std::optional<AnswerHead> head = {})
             -> bool;
-    auto end(ExchangeId exchange) -> CallerResult &;
-    [[nodiscard]] auto senderOf(ExchangeId exchange) const -> const Sender *;
-    /// Gives the table now published to `host`, late by its lag.
+    auto recordEnd(ExchangeId exchange) -> CallerResult &;
+    [[nodiscard]] auto relaySenderOf(ExchangeId exchange) const -> const RelaySender *;
+    /// Sends the published table to `host`, delayed by `tableLag`.
     auto sendTable(std::size_t host) -> void;
-    [[nodiscard]] auto publishedWall() const -> std::optional<WallTime>;
-    /// Returns how long the table `revision` still takes to `host`; at least one way.
+    [[nodiscard]] auto publishedWallTime() const -> std::optional<WallTime>;
+    /// Returns the delay until table `revision` arrives at `host`; at least the one-way delay.
     [[nodiscard]] auto tableDelay(std::size_t host, Revision revision) const -> Duration;
 
     std::vector<Host> hosts;
     std::string table;
     Revision revision { 1 };
-    std::map<std::uint64_t, MonoTime> publishedAt; ///< By revision.
+    std::map<std::uint64_t, MonoTime> publishedAt; ///< Publication time of each revision.
     Now clock;
     std::priority_queue<Pending> pending;
-    std::uint64_t order = 0;
+    std::uint64_t sequence = 0;
     std::uint64_t lastExchange = 0;
-    std::uint64_t lastKey = 0;
-    std::map<ExchangeId, Sender> senders;
-    std::map<ExchangeId, std::uint32_t> attempts; ///< Of feeds.
+    std::uint64_t lastKeySeed = 0;
+    std::map<ExchangeId, RelaySender> relaySenders;
+    std::map<ExchangeId, std::uint32_t>
+            attempts; ///< Attempt number of the last opening of each feed.
     std::map<ExchangeId, CallerResult> results;
 };
 
