--- a/src/net/httpexchange.cpp
+++ b/src/net/httpexchange.cpp
@@ -117,7 +117,7 @@
         return;
     }
     this->passBytes(this->events->push(bytes));
-    if (this->events->isOverlong()) {
+    if (this->events->isEventTooLarge()) {
         this->call->breakOff();
     }
 }
--- a/src/net/packetsocket.cpp
+++ b/src/net/packetsocket.cpp
@@ -54,7 +54,7 @@
     std::array<iovec, config::packetBatch> readVectors;
     std::array<mmsghdr, config::packetBatch> reads;
 
-    std::array<platform::Prefix, sendsMax> prefixes;
+    std::array<platform::ForwardPrefix, sendsMax> prefixes;
     std::array<platform::ResetPacket, sendsMax> resets;
     std::array<std::array<iovec, 2>, sendsMax> sendVectors;
     std::array<sockaddr_in, sendsMax> names;
@@ -187,7 +187,7 @@
     auto *bytes = this->buffers->bytes[place].data();
     const auto size = this->buffers->reads[place].msg_len;
     auto &prefix = this->buffers->prefixes[this->buffers->sendCount];
-    prefix = platform::prefixFor(bytes, target);
+    prefix = platform::makeForwardPrefix(bytes, target);
     auto &vectors = this->buffers->add(target.address, 2);
     vectors[0] = { prefix.data(), prefix.size() };
     vectors[1] = { bytes + platform::cookieEnd, size - platform::cookieEnd };
@@ -197,7 +197,7 @@
 {
     const auto &head = this->heads[packet];
     auto &reset = this->buffers->resets[this->buffers->sendCount];
-    reset = platform::resetFor(head);
+    reset = platform::makeResetPacket(head);
     auto &vectors = this->buffers->add({ head.caller.ip, this->callerPort }, 1);
     vectors[0] = { reset.data(), reset.size() };
 }
--- a/src/wire/cborguard.cpp
+++ b/src/wire/cborguard.cpp
@@ -1,4 +1,5 @@
-/// Walks CBOR without building anything, so that hostile nesting and sizes are found first.
+/// Parses CBOR without building a document, so that excessive nesting and forged container sizes
+/// are rejected before anything is allocated for them.
 #include "wire/cborguard.h"
 
 #include <nlohmann/json.hpp>
@@ -11,11 +12,13 @@
 
 using Json = nlohmann::json;
 
-/// Counts the depth and compares each container's size with that of the text.
-class CborGuard : public nlohmann::json_sax<Json>
+/// SAX handler that limits the nesting depth, and rejects a container that declares more elements
+/// than the input has bytes.
+class CborValidator : public nlohmann::json_sax<Json>
 {
 public:
-    CborGuard(std::size_t bytes, std::size_t depthMax) : bytesMax(bytes), depthLeft(depthMax) {}
+    CborValidator(std::size_t bytes, std::size_t depthMax) : inputBytes(bytes), depthLeft(depthMax)
+    {}
 
     auto null() -> bool override { return true; }
     auto boolean(bool /*value*/) -> bool override { return true; }
@@ -41,8 +44,8 @@
 private:
     auto enter(std::size_t elements) -> bool
     {
-        constexpr auto untold = static_cast<std::size_t>(-1);
-        if (this->depthLeft == 0 || (elements != untold && elements > this->bytesMax)) {
+        constexpr auto indefiniteLength = static_cast<std::size_t>(-1);
+        if (this->depthLeft == 0 || (elements != indefiniteLength && elements > this->inputBytes)) {
             return false;
         }
         --this->depthLeft;
@@ -54,7 +57,7 @@
         return true;
     }
 
-    std::size_t bytesMax;
+    std::size_t inputBytes;
     std::size_t depthLeft;
 };
 
@@ -62,9 +65,9 @@
 
 auto isSafeCbor(const std::vector<std::uint8_t> &bytes, std::size_t depthMax) -> bool
 {
-    CborGuard guard(bytes.size(), depthMax);
+    CborValidator validator(bytes.size(), depthMax);
     try {
-        return Json::sax_parse(bytes, &guard, Json::input_format_t::cbor);
+        return Json::sax_parse(bytes, &validator, Json::input_format_t::cbor);
     } catch (const std::exception &) {
         return false;
     }
--- a/src/wire/cborguard.h
+++ b/src/wire/cborguard.h
@@ -1,4 +1,4 @@
-/// Checks CBOR before it is read.
+/// Validation of untrusted CBOR before it is decoded.
 #pragma once
 
 #include <cstddef>
@@ -7,8 +7,9 @@
 
 namespace flamingograde {
 
-/// Returns whether `bytes` are one well-formed CBOR value that can be read without harm: nested
-/// at most `depthMax` deep, and with no container said to be larger than the text.
+/// Returns whether `bytes` hold exactly one well-formed CBOR value that is safe to decode: arrays
+/// and maps are nested at most `depthMax` deep, and none declares more elements than `bytes` has
+/// bytes.
 /// @remarks Thread safe. Throws nothing.
 [[nodiscard]] auto isSafeCbor(const std::vector<std::uint8_t> &bytes, std::size_t depthMax) -> bool;
 
--- a/src/wire/directorycodec.cpp
+++ b/src/wire/directorycodec.cpp
@@ -1,7 +1,7 @@
-/// The form of a directory's update.
+/// Wire format of directory updates.
 ///
-/// Keys are one letter; records, removals and rows are lists with a fixed order. Ids are made from
-/// names, but for those of instances.
+/// Keys are one letter; records, removals and rows are arrays with a fixed order of fields. Only
+/// the IDs of instances are sent; the other IDs are derived from the names.
 #include "wire/directorycodec.h"
 
 #include "wire/wirereader.h"
@@ -19,20 +19,21 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t recordsMax = 1000000;        ///< More upstreams are no update.
-constexpr std::size_t rowsMax = 1000000;           ///< More rows are no update.
-constexpr std::size_t sharesMax = 1000;            ///< More services are no row.
-constexpr std::size_t versionBytesMax = 200;       ///< Longest version of an upstream's software.
-constexpr std::size_t recordFields = 12;           ///< Entries of a record's list.
-constexpr std::size_t evacuationFields = 3;        ///< Entries of an evacuation's list.
-constexpr std::size_t removalFields = 2;           ///< Entries of a removal's or a fault's list.
-constexpr std::size_t rowFields = 9;               ///< Entries of a row's list.
-constexpr std::size_t coldLimitFields = 3;         ///< Entries of a cold limit's list.
-constexpr double rateScale = 1000;                 ///< Rates are encoded in thousandths.
-constexpr std::size_t shareFields = 2;             ///< Entries of a share's list.
-constexpr std::uint64_t startMax = 32503680000000; ///< Milliseconds up to the year 3000.
-constexpr std::uint64_t max32 = std::numeric_limits<std::uint32_t>::max();
-constexpr std::uint64_t max16 = std::numeric_limits<std::uint16_t>::max();
+constexpr std::size_t recordsMax =
+        1000000;                         ///< Most records, or removals, or faults, or evacuations.
+constexpr std::size_t rowsMax = 1000000; ///< Most rows, or cold limits, in an update.
+constexpr std::size_t sharesMax = 1000;  ///< Most services that share a row.
+constexpr std::size_t versionBytesMax = 200; ///< Longest software version of an upstream.
+constexpr std::size_t recordFields = 12;     ///< Fields of a record.
+constexpr std::size_t evacuationFields = 3;  ///< Fields of an evacuation order.
+constexpr std::size_t removalFields = 2;     ///< Fields of a removal or a fault.
+constexpr std::size_t rowFields = 9;         ///< Fields of a row.
+constexpr std::size_t coldLimitFields = 3;   ///< Fields of a cold limit.
+constexpr double rateScale = 1000;           ///< Rates are encoded in thousandths.
+constexpr std::size_t shareFields = 2;       ///< Fields of a service's share of a row.
+constexpr std::uint64_t startTimeMaxMs = 32503680000000; ///< The year 3000 in Unix milliseconds.
+constexpr std::uint64_t uint32Max = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint64_t uint16Max = std::numeric_limits<std::uint16_t>::max();
 
 auto milliseconds(Duration duration) -> std::uint64_t
 {
@@ -42,7 +43,7 @@
 
 auto unpackDuration(WireReader &reader, const Json &value) -> Duration
 {
-    return std::chrono::milliseconds(reader.number(value, max32));
+    return std::chrono::milliseconds(reader.number(value, uint32Max));
 }
 
 auto packRecord(const DirectoryRecord &record) -> Json
@@ -72,16 +73,16 @@
     upstream.service = ServiceId::ofName(upstream.serviceName);
     upstream.zoneName = reader.name(at[3]);
     upstream.zone = ZoneId::ofName(upstream.zoneName);
-    upstream.address = { static_cast<std::uint32_t>(reader.number(at[4], max32)),
-                         static_cast<std::uint16_t>(reader.number(at[5], max16)) };
-    upstream.slots = static_cast<std::uint32_t>(reader.number(at[6], max32));
+    upstream.address = { static_cast<std::uint32_t>(reader.number(at[4], uint32Max)),
+                         static_cast<std::uint16_t>(reader.number(at[5], uint16Max)) };
+    upstream.slots = static_cast<std::uint32_t>(reader.number(at[6], uint32Max));
     upstream.state = static_cast<UpstreamState>(reader.number(at[7], lastState));
     upstream.warmup = unpackDuration(reader, at[8]);
     upstream.version = reader.text(at[9], versionBytesMax);
     record.changed = { reader.number(at[10]) };
     record.created = { reader.number(at[11]) };
     if (!upstream.instance.isValid() || upstream.slots == 0) {
-        reader.fail("an upstream without an instance or slots");
+        reader.fail("an upstream has no instance ID or no slots");
     }
     return record;
 }
@@ -106,7 +107,7 @@
     }
     share.serviceName = reader.name((*fields)[0]);
     share.service = ServiceId::ofName(share.serviceName);
-    share.weight = static_cast<std::uint32_t>(reader.number((*fields)[1], max32));
+    share.weight = static_cast<std::uint32_t>(reader.number((*fields)[1], uint32Max));
     return share;
 }
 
@@ -121,14 +122,14 @@
     const auto &at = *fields;
     row.name = reader.name(at[0]);
     row.id = RowId::ofName(row.name);
-    row.address = { static_cast<std::uint32_t>(reader.number(at[1], max32)),
-                    static_cast<std::uint16_t>(reader.number(at[2], max16)) };
+    row.address = { static_cast<std::uint32_t>(reader.number(at[1], uint32Max)),
+                    static_cast<std::uint16_t>(reader.number(at[2], uint16Max)) };
     for (const auto &share : reader.list(at[3], sharesMax)) {
         row.shares.push_back(unpackShare(reader, share));
     }
     row.kind = static_cast<RequestKind>(reader.number(at[4], lastKind));
     row.idempotent = reader.flag(at[5]);
-    row.urgency = static_cast<std::uint32_t>(reader.number(at[6], max32));
+    row.urgency = static_cast<std::uint32_t>(reader.number(at[6], uint32Max));
     row.deadline = unpackDuration(reader, at[7]);
     row.target = unpackDuration(reader, at[8]);
     return row;
@@ -155,7 +156,8 @@
     limit.serviceName = reader.name((*fields)[0]);
     limit.service = ServiceId::ofName(limit.serviceName);
     limit.coldTime = unpackDuration(reader, (*fields)[1]);
-    limit.requestsPerSecond = static_cast<double>(reader.number((*fields)[2], max32)) / rateScale;
+    limit.requestsPerSecond =
+            static_cast<double>(reader.number((*fields)[2], uint32Max)) / rateScale;
     return limit;
 }
 
@@ -181,7 +183,7 @@
     for (const auto &row : reader.list(reader.field(map, "l"), rowsMax)) {
         rows->rows.push_back(unpackRow(reader, row));
     }
-    if (map.contains("k")) { // Absent in updates of older versions.
+    if (map.contains("k")) { // Absent in updates from hosts of older versions.
         for (const auto &limit : reader.list(map["k"], rowsMax)) {
             rows->coldLimits.push_back(unpackColdLimit(reader, limit));
         }
@@ -189,7 +191,7 @@
     return rows;
 }
 
-/// Reads an instance and the revision of what happened to it.
+/// Decodes a removal or a fault: the instance and the revision of that change.
 auto unpackInstance(WireReader &reader, const Json &value) -> std::pair<InstanceId, Revision>
 {
     const auto *fields = reader.tuple(value, removalFields);
@@ -199,23 +201,24 @@
     return { InstanceId(reader.number((*fields)[0])), { reader.number((*fields)[1]) } };
 }
 
-/// Writes when the upstreams of `present` started, in its order. A list of its own: hosts that do
-/// not know it read the rest.
-auto packStarts(const DirectoryUpdate &update) -> Json
+/// Encodes the start times of the upstreams in `present`, in the same order. They are a separate
+/// array so that hosts of older versions, which do not know it, can still decode the records.
+auto packStartTimes(const DirectoryUpdate &update) -> Json
 {
-    auto starts = Json::array();
+    auto startTimes = Json::array();
     for (const auto &record : update.present) {
         const auto born = record.upstream.born.time_since_epoch();
-        starts.push_back(milliseconds(born));
+        startTimes.push_back(milliseconds(born));
     }
-    return starts;
+    return startTimes;
 }
 
-auto unpackStarts(WireReader &reader, const Json &value, DirectoryUpdate &update) -> void
+auto unpackStartTimes(WireReader &reader, const Json &value, DirectoryUpdate &update) -> void
 {
-    const auto *starts = reader.tuple(value, update.present.size());
-    for (std::size_t i = 0; starts != nullptr && i < update.present.size(); ++i) {
-        const auto born = std::chrono::milliseconds(reader.number((*starts)[i], startMax));
+    const auto *startTimes = reader.tuple(value, update.present.size());
+    for (std::size_t i = 0; startTimes != nullptr && i < update.present.size(); ++i) {
+        const auto born =
+                std::chrono::milliseconds(reader.number((*startTimes)[i], startTimeMaxMs));
         update.present[i].upstream.born = WallTime(born);
     }
 }
@@ -263,7 +266,7 @@
                { "u", update.upTo.number },
                { "p", std::move(present) },
                { "x", std::move(removed) },
-               { "b", packStarts(update) },
+               { "b", packStartTimes(update) },
                { "f", std::move(faulty) },
                { "s", milliseconds(update.settlesIn) } };
     if (!update.evacuations.empty()) {
@@ -288,7 +291,7 @@
         update.removed.push_back({ instance, at });
     }
     if (map.contains("b")) {
-        unpackStarts(reader, map["b"], update);
+        unpackStartTimes(reader, map["b"], update);
     }
     if (map.contains("f")) {
         for (const auto &fault : reader.list(map["f"], recordsMax)) {
--- a/src/wire/directorycodec.h
+++ b/src/wire/directorycodec.h
@@ -1,4 +1,4 @@
-/// The directory's updates on the wire.
+/// Wire format of directory updates.
 #pragma once
 
 #include <flamingograde/directoryupdate.h>
@@ -9,11 +9,11 @@
 
 class WireReader;
 
-/// Returns an update as a map. Thread safe.
+/// Encodes an update as a map. Thread safe.
 [[nodiscard]] auto packUpdate(const DirectoryUpdate &update) -> nlohmann::json;
 
-/// Reads an update from a map; faults are noted at `reader`.
-/// @remarks Thread safe for different readers.
+/// Decodes an update from a map. Errors are recorded in `reader`.
+/// @remarks Thread safe if each thread uses its own reader.
 [[nodiscard]] auto unpackUpdate(WireReader &reader, const nlohmann::json &map) -> DirectoryUpdate;
 
 } // namespace flamingograde
--- a/src/wire/eventsplitter.cpp
+++ b/src/wire/eventsplitter.cpp
@@ -1,4 +1,4 @@
-/// Splits a stream of server-sent events at the boundaries of events.
+/// Splitting of server-sent event streams at event boundaries.
 #include "wire/eventsplitter.h"
 
 #include <utility>
@@ -13,45 +13,45 @@
 
 auto EventSplitter::push(std::string_view bytes) -> std::string
 {
-    this->partial.append(bytes);
-    for (; this->scanned < this->partial.size(); ++this->scanned) {
-        const auto byte = this->partial[this->scanned];
-        const auto pairedFeed = byte == '\n' && this->afterReturn;
-        this->afterReturn = byte == '\r';
-        if (pairedFeed) {
-            this->whole += this->whole == this->scanned ? 1 : 0;
-            this->lineStart = this->scanned + 1;
+    this->buffer.append(bytes);
+    for (; this->parsedBytes < this->buffer.size(); ++this->parsedBytes) {
+        const auto byte = this->buffer[this->parsedBytes];
+        const auto endsCrLf = byte == '\n' && this->afterCarriageReturn;
+        this->afterCarriageReturn = byte == '\r';
+        if (endsCrLf) {
+            this->completeBytes += this->completeBytes == this->parsedBytes ? 1 : 0;
+            this->lineStart = this->parsedBytes + 1;
         } else if (byte == '\n' || byte == '\r') {
-            this->endLine(this->scanned);
+            this->endLine(this->parsedBytes);
         }
     }
-    auto events = this->partial.substr(0, this->whole);
-    this->partial.erase(0, this->whole);
-    this->scanned -= this->whole;
-    this->lineStart -= this->whole;
-    this->whole = 0;
+    auto events = this->buffer.substr(0, this->completeBytes);
+    this->buffer.erase(0, this->completeBytes);
+    this->parsedBytes -= this->completeBytes;
+    this->lineStart -= this->completeBytes;
+    this->completeBytes = 0;
     return events;
 }
 
 auto EventSplitter::dropPartial() -> void
 {
-    this->partial.clear();
-    this->scanned = 0;
+    this->buffer.clear();
+    this->parsedBytes = 0;
     this->lineStart = 0;
-    this->whole = 0;
-    this->afterReturn = false;
-    this->hasNextId = false;
+    this->completeBytes = 0;
+    this->afterCarriageReturn = false;
+    this->hasPendingId = false;
 }
 
 auto EventSplitter::endLine(std::size_t lineEnd) -> void
 {
     const auto line =
-            std::string_view(this->partial).substr(this->lineStart, lineEnd - this->lineStart);
+            std::string_view(this->buffer).substr(this->lineStart, lineEnd - this->lineStart);
     this->lineStart = lineEnd + 1;
     if (line.empty()) {
-        this->whole = lineEnd + 1;
-        if (std::exchange(this->hasNextId, false)) {
-            this->id = std::move(this->nextId);
+        this->completeBytes = lineEnd + 1;
+        if (std::exchange(this->hasPendingId, false)) {
+            this->lastEventId = std::move(this->pendingId);
         }
         return;
     }
@@ -64,8 +64,8 @@
         value.remove_prefix(1);
     }
     if (value.find('\0') == std::string_view::npos) {
-        this->nextId = value;
-        this->hasNextId = true;
+        this->pendingId = value;
+        this->hasPendingId = true;
     }
 }
 
--- a/src/wire/eventsplitter.h
+++ b/src/wire/eventsplitter.h
@@ -1,4 +1,4 @@
-/// Splits a stream of server-sent events at the boundaries of events.
+/// Splitting of server-sent event streams at event boundaries.
 #pragma once
 
 #include <cstddef>
@@ -7,38 +7,44 @@
 
 namespace flamingograde {
 
-/// Passes on whole events only, and knows the id of the last one.
+/// Buffers a stream of server-sent events, returns complete events only, and keeps the ID of the
+/// last one returned.
 /// @remarks Not thread safe.
 class EventSplitter
 {
 public:
-    static constexpr std::size_t eventBytesMax = 1U << 20U; ///< Largest event.
+    static constexpr std::size_t eventBytesMax = 1U << 20U; ///< Largest event that is accepted.
 
-    /// Takes the next bytes of the stream.
-    /// @returns the bytes up to the last event boundary that were not returned before; may be
-    /// empty.
+    /// Appends the next bytes of the stream.
+    /// @returns all complete events that were not returned before, byte for byte; may be empty.
     [[nodiscard]] auto push(std::string_view bytes) -> std::string;
 
-    /// Forgets the part of an event that was not returned, as its stream broke off.
+    /// Discards the incomplete event at the end of the buffer, for example after the stream was cut
+    /// off. `lastId` does not change.
     auto dropPartial() -> void;
 
-    /// Returns the id of the last event returned that has one; empty for none.
-    [[nodiscard]] auto lastId() const -> const std::string & { return this->id; }
+    /// Returns the ID of the last returned event that has an `id` field; empty if there is none, or
+    /// if that field is empty.
+    [[nodiscard]] auto lastId() const -> const std::string & { return this->lastEventId; }
 
-    /// Returns whether an event is larger than `eventBytesMax`: the stream cannot be used.
-    [[nodiscard]] auto isOverlong() const -> bool { return this->partial.size() > eventBytesMax; }
+    /// Returns whether the incomplete event exceeds `eventBytesMax`; the stream must then be
+    /// abandoned.
+    [[nodiscard]] auto isEventTooLarge() const -> bool
+    {
+        return this->buffer.size() > eventBytesMax;
+    }
 
 private:
     auto endLine(std::size_t lineEnd) -> void;
 
-    std::string partial;       ///< Bytes since the last boundary.
-    std::size_t scanned = 0;   ///< Bytes of `partial` that were looked at.
-    std::size_t lineStart = 0; ///< Where the current line begins in `partial`.
-    std::size_t whole = 0;     ///< Bytes of `partial` that are whole events.
-    bool afterReturn = false;  ///< The last byte was CR: an LF belongs to the same line end.
-    bool hasNextId = false;
-    std::string nextId; ///< Of the event that is coming in.
-    std::string id;
+    std::string buffer;               ///< Received bytes that were not returned yet.
+    std::size_t parsedBytes = 0;      ///< Bytes of `buffer` that were scanned for line ends.
+    std::size_t lineStart = 0;        ///< Offset of the current line in `buffer`.
+    std::size_t completeBytes = 0;    ///< Bytes of `buffer` that form complete events.
+    bool afterCarriageReturn = false; ///< An LF now belongs to the line end of the CR before it.
+    bool hasPendingId = false;
+    std::string pendingId; ///< ID of the incomplete event.
+    std::string lastEventId;
 };
 
 } // namespace flamingograde
--- a/src/wire/hostlist.cpp
+++ b/src/wire/hostlist.cpp
@@ -1,4 +1,4 @@
-/// The platform's host list.
+/// Parsing of the platform's host list.
 #include "wire/hostlist.h"
 
 #include <nlohmann/json.hpp>
@@ -9,8 +9,8 @@
 
 using Json = nlohmann::json;
 
-/// Returns the text of a field; empty where it is missing or no text.
-auto textOf(const Json &entry, const char *key) -> std::string
+/// Returns the value of a string field; empty if the field is missing or not a string.
+auto stringField(const Json &entry, const char *key) -> std::string
 {
     const auto found = entry.find(key);
     return found != entry.end() && found->is_string() ? found->get<std::string>() : std::string();
@@ -22,16 +22,16 @@
         return tl::unexpected(std::string("a host is not an object"));
     }
     Member member;
-    member.name = textOf(entry, "name");
-    member.zoneName = textOf(entry, "zone");
+    member.name = stringField(entry, "name");
+    member.zoneName = stringField(entry, "zone");
     if (member.name.empty() || member.zoneName.empty()) {
         return tl::unexpected(std::string("a host has no name or zone"));
     }
-    const auto peer = Address::parse(textOf(entry, "peer"));
-    const auto relay = Address::parse(textOf(entry, "relay"));
-    const auto state = textOf(entry, "state");
+    const auto peer = Address::parse(stringField(entry, "peer"));
+    const auto relay = Address::parse(stringField(entry, "relay"));
+    const auto state = stringField(entry, "state");
     if (!peer || !relay || (state != "live" && state != "leaving")) {
-        return tl::unexpected("host " + member.name + " has a wrong address or state");
+        return tl::unexpected("host " + member.name + " has an invalid address or state");
     }
     member.id = HostId::ofName(member.name);
     member.zone = ZoneId::ofName(member.zoneName);
@@ -47,7 +47,7 @@
 {
     const auto json = Json::parse(text, nullptr, false);
     if (!json.is_object() || !json.contains("hosts") || !json["hosts"].is_array()) {
-        return tl::unexpected(std::string("not a JSON object with a list of hosts"));
+        return tl::unexpected(std::string("not a JSON object with an array of hosts"));
     }
     std::vector<Member> members;
     for (const auto &entry : json["hosts"]) {
--- a/src/wire/hostlist.h
+++ b/src/wire/hostlist.h
@@ -1,4 +1,4 @@
-/// The platform's host list.
+/// Parsing of the platform's host list.
 #pragma once
 
 #include <flamingograde/member.h>
@@ -11,8 +11,8 @@
 
 namespace flamingograde {
 
-/// Reads the JSON answer of the platform's host list.
-/// @returns the members, or what is wrong with the first faulty entry.
+/// Parses the JSON response that holds the platform's host list.
+/// @returns the members, or the error in the document or in its first invalid entry.
 /// @remarks Thread safe. Throws nothing.
 [[nodiscard]] auto parseHostList(std::string_view text)
         -> tl::expected<std::vector<Member>, std::string>;
--- a/src/wire/messagecodec.h
+++ b/src/wire/messagecodec.h
@@ -1,4 +1,4 @@
-/// Messages between hosts as CBOR.
+/// Encoding of the messages between hosts as CBOR.
 #pragma once
 
 #include <flamingograde/message.h>
@@ -11,13 +11,13 @@
 
 namespace flamingograde {
 
-/// Returns `message` as one CBOR map.
+/// Encodes `message` as one CBOR map.
 /// @remarks Thread safe.
 [[nodiscard]] auto encode(const Message &message) -> std::vector<std::uint8_t>;
 
-/// Reads one CBOR map.
-/// @param bytes what another host sent; anything.
-/// @returns the message, or what is wrong with it.
+/// Decodes a message from one CBOR map.
+/// @param bytes untrusted input from another host. Precondition: none.
+/// @returns the message, or a description of the first error in it.
 /// @remarks Thread safe. Throws nothing.
 [[nodiscard]] auto decode(const std::vector<std::uint8_t> &bytes)
         -> tl::expected<Message, std::string>;
--- a/src/wire/messagedecoder.cpp
+++ b/src/wire/messagedecoder.cpp
@@ -1,4 +1,4 @@
-/// Reads messages from the wire. `messageencoder.cpp` has their form.
+/// Decoding of the messages between hosts. `messageencoder.cpp` describes the wire format.
 #include "wire/messagecodec.h"
 
 #include "wire/cborguard.h"
@@ -19,21 +19,21 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t depthMax = 8;        ///< Deeper nesting is no message.
-constexpr std::size_t listMax = 100000;    ///< Longer lists are no message.
-constexpr std::size_t memberFields = 9;    ///< Entries of a member's list.
-constexpr std::size_t loadFields = 4;      ///< Entries of a load's list.
-constexpr std::size_t zoneFields = 3;      ///< Entries of a list of active slots.
-constexpr std::size_t placementFields = 4; ///< Entries of a placement's list.
-constexpr std::size_t knowledgeFields = 4; ///< Entries of a cell's knowledge.
-constexpr std::size_t handedKeyFields = 3; ///< Entries of a handed key.
-constexpr std::uint64_t max32 = std::numeric_limits<std::uint32_t>::max();
-constexpr std::uint64_t max16 = std::numeric_limits<std::uint16_t>::max();
+constexpr std::size_t depthMax = 8;          ///< Deepest nesting of a message.
+constexpr std::size_t arraySizeMax = 100000; ///< Longest array without a limit of its own.
+constexpr std::size_t memberFields = 9;      ///< Fields of a member.
+constexpr std::size_t loadFields = 4;        ///< Fields of the load of a cell.
+constexpr std::size_t zoneFields = 3;        ///< Fields of a service's slots in a zone.
+constexpr std::size_t placementFields = 4;   ///< Fields of a placement.
+constexpr std::size_t knowledgeFields = 4;   ///< Fields of what a host knows of a cell's keys.
+constexpr std::size_t handedKeyFields = 3;   ///< Fields of a key that is handed over.
+constexpr std::uint64_t uint32Max = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint64_t uint16Max = std::numeric_limits<std::uint16_t>::max();
 
 auto unpackAddress(WireReader &reader, const Json &ip, const Json &port) -> Address
 {
-    return { static_cast<std::uint32_t>(reader.number(ip, max32)),
-             static_cast<std::uint16_t>(reader.number(port, max16)) };
+    return { static_cast<std::uint32_t>(reader.number(ip, uint32Max)),
+             static_cast<std::uint16_t>(reader.number(port, uint16Max)) };
 }
 
 auto unpackMember(WireReader &reader, const Json &value) -> Member
@@ -53,7 +53,7 @@
     member.relay = unpackAddress(reader, at[4], at[5]);
     member.incarnation = reader.number(at[6]);
     member.state = static_cast<MemberState>(reader.number(at[7], lastState));
-    member.linkMbps = static_cast<std::uint32_t>(reader.number(at[8], max32));
+    member.linkMbps = static_cast<std::uint32_t>(reader.number(at[8], uint32Max));
     return member;
 }
 
@@ -64,9 +64,10 @@
         return {};
     }
     const auto &at = *fields;
-    return { CellId(reader.number(at[0])), static_cast<std::uint32_t>(reader.number(at[1], max32)),
-             static_cast<std::uint32_t>(reader.number(at[2], max32)),
-             static_cast<std::uint32_t>(reader.number(at[3], max32)) };
+    return { CellId(reader.number(at[0])),
+             static_cast<std::uint32_t>(reader.number(at[1], uint32Max)),
+             static_cast<std::uint32_t>(reader.number(at[2], uint32Max)),
+             static_cast<std::uint32_t>(reader.number(at[3], uint32Max)) };
 }
 
 auto unpackTime(WireReader &reader, const Json &value) -> WallTime
@@ -82,7 +83,7 @@
     }
     const auto &at = *fields;
     return { ServiceId(reader.number(at[0])), ZoneId(reader.number(at[1])),
-             static_cast<double>(reader.number(at[2], max32)) };
+             static_cast<double>(reader.number(at[2], uint32Max)) };
 }
 
 auto unpackPlacement(WireReader &reader, const Json &value) -> TablePlacement
@@ -113,24 +114,25 @@
     }
     gossip.revision = { reader.number(reader.field(map, "r")) };
     gossip.tableDigest = reader.number(reader.field(map, "d"));
-    gossip.platformAgeMs = static_cast<std::uint32_t>(reader.number(reader.field(map, "a"), max32));
+    gossip.platformAgeMs =
+            static_cast<std::uint32_t>(reader.number(reader.field(map, "a"), uint32Max));
     gossip.placements = reader.number(reader.field(map, "p"));
     gossip.agreed = reader.flag(reader.field(map, "s"));
     gossip.directory = { reader.number(reader.field(map, "y")) };
     gossip.members =
-            map.contains("m") ? static_cast<std::uint32_t>(reader.number(map["m"], max32)) : 0;
+            map.contains("m") ? static_cast<std::uint32_t>(reader.number(map["m"], uint32Max)) : 0;
     gossip.readsFail = map.contains("f") && reader.flag(map["f"]);
     if (map.contains("k")) {
         constexpr auto lastUse = static_cast<std::uint64_t>(LinkUse::Feed);
         gossip.linkUse = static_cast<LinkUse>(reader.number(map["k"], lastUse));
     }
     if (map.contains("u")) {
-        for (const auto &entry : reader.list(map["u"], listMax)) {
+        for (const auto &entry : reader.list(map["u"], arraySizeMax)) {
             gossip.updates.push_back(unpackMember(reader, entry));
         }
     }
     if (map.contains("l")) {
-        for (const auto &entry : reader.list(map["l"], listMax)) {
+        for (const auto &entry : reader.list(map["l"], arraySizeMax)) {
             gossip.loads.push_back(unpackLoad(reader, entry));
         }
     }
@@ -186,9 +188,9 @@
 auto unpack(WireReader &reader, const Json &map, ClaimRequest &message) -> void
 {
     message.round = reader.number(reader.field(map, "n"));
-    message.cells = reader.ids<CellId>(reader.field(map, "c"), listMax);
+    message.cells = reader.ids<CellId>(reader.field(map, "c"), arraySizeMax);
     message.claim = reader.number(reader.field(map, "i"));
-    message.voters = reader.ids<HostId>(reader.field(map, "v"), listMax);
+    message.voters = reader.ids<HostId>(reader.field(map, "v"), arraySizeMax);
 }
 
 auto unpackKnowledge(WireReader &reader, const Json &value) -> CellKnowledge
@@ -218,11 +220,11 @@
 auto unpack(WireReader &reader, const Json &map, ClaimGrant &message) -> void
 {
     message.round = reader.number(reader.field(map, "n"));
-    message.refused = reader.ids<CellId>(reader.field(map, "f"), listMax);
-    message.granted = reader.ids<CellId>(reader.field(map, "c"), listMax);
-    message.held = reader.ids<CellId>(reader.field(map, "b"), listMax);
+    message.refused = reader.ids<CellId>(reader.field(map, "f"), arraySizeMax);
+    message.granted = reader.ids<CellId>(reader.field(map, "c"), arraySizeMax);
+    message.held = reader.ids<CellId>(reader.field(map, "b"), arraySizeMax);
     if (map.contains("k")) {
-        for (const auto &entry : reader.list(map["k"], listMax)) {
+        for (const auto &entry : reader.list(map["k"], arraySizeMax)) {
             message.knowledge.push_back(unpackKnowledge(reader, entry));
         }
     }
@@ -231,7 +233,7 @@
 auto unpack(WireReader &reader, const Json &map, ClaimRelease &message) -> void
 {
     message.claim = reader.number(reader.field(map, "i"));
-    message.cells = reader.ids<CellId>(reader.field(map, "c"), listMax);
+    message.cells = reader.ids<CellId>(reader.field(map, "c"), arraySizeMax);
 }
 
 auto unpack(WireReader &reader, const Json &map, KeyLookup &message) -> void
@@ -259,7 +261,7 @@
     message = unpackUpdate(reader, map);
 }
 
-/// Reads the message whose place in the variant is `type`.
+/// Decodes the message whose index in the variant `Message` is `type`.
 template<std::size_t Index = 0>
 auto unpackType(WireReader &reader, const Json &map, std::uint64_t type) -> Message
 {
@@ -271,7 +273,7 @@
         unpack(reader, map, message);
         return message;
     } else {
-        reader.fail("unknown type of message");
+        reader.fail("unknown message type");
         return {};
     }
 }
@@ -281,15 +283,15 @@
 auto decode(const std::vector<std::uint8_t> &bytes) -> tl::expected<Message, std::string>
 {
     if (bytes.size() > config::peerMessageMax) {
-        return tl::unexpected(std::string("too large"));
+        return tl::unexpected(std::string("message too large"));
     }
     if (!isSafeCbor(bytes, depthMax)) {
-        return tl::unexpected(std::string("not CBOR"));
+        return tl::unexpected(std::string("not one well-formed CBOR value, or nested too deeply"));
     }
     try {
         const auto map = Json::from_cbor(bytes, true, false);
         if (!map.is_object()) {
-            return tl::unexpected(std::string("not a map"));
+            return tl::unexpected(std::string("message is not a map"));
         }
         WireReader reader;
         const auto type = reader.number(reader.field(map, "t"));
--- a/src/wire/messageencoder.cpp
+++ b/src/wire/messageencoder.cpp
@@ -1,7 +1,8 @@
-/// The form of each message on the wire.
+/// Wire format of the messages between hosts.
 ///
-/// Keys are one letter. Members, loads and the like are lists with a fixed order. Ids of members
-/// and zones are not sent: they are made from the names.
+/// Keys are one letter. Members, loads and other nested records are arrays with a fixed order of
+/// fields. The IDs of members and their zones are not sent; the receiver derives them from the
+/// names.
 #include "wire/messagecodec.h"
 
 #include "wire/directorycodec.h"
@@ -70,7 +71,7 @@
     return time.time_since_epoch().count();
 }
 
-/// Of a placement that is not agreed the time is missing.
+/// The time of agreement is an array: empty if the placement is not agreed, else of one element.
 auto pack(const TablePlacement &placement) -> Json
 {
     auto zones = Json::array();
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -1,4 +1,4 @@
-/// Reads the settings of a host from TOML.
+/// Parsing of the settings of a host from TOML.
 #include "wire/settings.h"
 
 #include "table/entries.h"
@@ -18,32 +18,32 @@
 
 namespace {
 
-using Words = std::vector<std::string_view>;
+using Names = std::vector<std::string_view>;
 
 constexpr std::uint64_t stopTimeoutMaxMs = 3600000;
 constexpr std::uint64_t clockBoundMaxMs = 60000;
 constexpr std::uint64_t countMax = 10000000;
 constexpr std::uint64_t portMax = 65535;
-constexpr double linkMbpsMax = 1000000; ///< A terabit: more is no link of today.
+constexpr double linkMbpsMax = 1000000; ///< A terabit per second, above any current link.
 constexpr std::uint64_t flowsTrackedMin = 8;
 constexpr std::string_view defaultListen = "127.0.0.1:0";
 
-const Words sections { "host",     "listen", "advertise", "network", "packets",
-                       "platform", "seed",   "limits",    "log",     "policy" };
-const Words hostFields { "name", "zone", "link_mbps" };
-const Words listenFields { "services", "peer", "relay", "admin", "ready", "ready_path" };
-const Words advertiseFields { "peer", "relay" };
-const Words networkFields { "source" };
-const Words packetFields { "listen", "caller_port", "flows_tracked" };
-const Words platformFields { "address", "publishes" };
-const Words publishedWords { "table", "directory" };
-const Words seedFields { "name", "zone", "peer", "relay" };
-const Words limitFields { "stop_timeout_ms", "clock_bound_ms", "exchanges_max",
+const Names sectionNames { "host",     "listen", "advertise", "network", "packets",
+                           "platform", "seed",   "limits",    "log",     "policy" };
+const Names hostFields { "name", "zone", "link_mbps" };
+const Names listenFields { "services", "peer", "relay", "admin", "ready", "ready_path" };
+const Names advertiseFields { "peer", "relay" };
+const Names networkFields { "source" };
+const Names packetFields { "listen", "caller_port", "flows_tracked" };
+const Names platformFields { "address", "publishes" };
+const Names publishesNames { "table", "directory" };
+const Names seedFields { "name", "zone", "peer", "relay" };
+const Names limitFields { "stop_timeout_ms", "clock_bound_ms", "exchanges_max",
                           "feeds_max",       "cold_excess",    "cold_slack" };
-const Words logFields { "level" };
-const Words policyFields { "placement", "seed" };
-const Words levelWords { "error", "warn", "info", "debug" };
-const Words policyWords { "cell-home", "upstream-home", "local-least-loaded", "two-choices",
+const Names logFields { "level" };
+const Names policyFields { "placement", "seed" };
+const Names logLevelNames { "error", "warn", "info", "debug" };
+const Names policyNames { "cell-home", "upstream-home", "local-least-loaded", "two-choices",
                           "static-hash" };
 
 template<typename D>
@@ -58,15 +58,15 @@
     return number != 0 && (number & (number - 1)) == 0;
 }
 
-/// Reads the sections of one settings file.
+/// Reads the sections of one settings file and records their errors.
 class SettingsReader
 {
 public:
-    SettingsReader(const TomlText &read, FindingList &list) : text(read), findings(list) {}
+    SettingsReader(const TomlText &document, FindingList &list) : text(document), findings(list) {}
 
-    auto take() -> Settings
+    auto parse() -> Settings
     {
-        refuseUnknownSections(this->text, sections, "the settings have", false, this->findings);
+        refuseUnknownSections(this->text, sectionNames, "the settings have", false, this->findings);
         this->readHost();
         this->readListen();
         this->readAdvertise();
@@ -81,7 +81,7 @@
     }
 
 private:
-    auto reader(std::string_view section, const Words &fields) -> FieldReader;
+    auto reader(std::string_view section, const Names &fields) -> FieldReader;
     auto listenAddress(FieldReader &fields, std::string_view key) -> Address;
     auto sourceAddress(FieldReader &fields, std::string_view key) -> Address;
     auto readServices(FieldReader &fields) -> void;
@@ -100,12 +100,12 @@
 
     const TomlText &text;
     FindingList &findings;
-    toml::table none; ///< Stands for a missing section.
+    toml::table emptySection; ///< Used in place of a missing section.
     Settings settings;
 };
 
-/// Returns a reader of a section whose unknown fields and wrong form are reported.
-auto SettingsReader::reader(std::string_view section, const Words &fields) -> FieldReader
+/// Returns a reader of a section. Reports its unknown fields, and a value that is not a section.
+auto SettingsReader::reader(std::string_view section, const Names &fields) -> FieldReader
 {
     const auto *node = this->text.root.get(section);
     const auto *table = node != nullptr ? node->as_table() : nullptr;
@@ -113,21 +113,22 @@
         this->findings.add(placeOf(node->source()), std::string(section) + " is not a section",
                            "begin it with [" + std::string(section) + "]");
     }
-    const auto isWrong = table == nullptr && (node != nullptr || !this->text.isWhole);
+    const auto isUnreadable = table == nullptr && (node != nullptr || !this->text.isWhole);
     const auto isBroken =
-            isWrong
+            isUnreadable
             || (table != nullptr
                 && this->text.brokenSections.count(placeOf(table->source()).line) != 0);
-    FieldReader result(table != nullptr ? *table : this->none, section, isBroken, this->findings);
+    FieldReader result(table != nullptr ? *table : this->emptySection, section, isBroken,
+                       this->findings);
     result.refuseUnknown(fields);
     return result;
 }
 
-/// Reads where to listen; port 0 stands for any free port.
+/// Reads a listening address; port 0 means any free port.
 auto SettingsReader::listenAddress(FieldReader &fields, std::string_view key) -> Address
 {
-    const auto word = fields.has(key) ? fields.text(key) : defaultListen;
-    const auto address = Address::parse(word);
+    const auto value = fields.has(key) ? fields.text(key) : defaultListen;
+    const auto address = Address::parse(value);
     if (!address) {
         fields.fault(key, address.error(), "give IP:PORT, such as \"127.0.0.1:0\"");
         return {};
@@ -140,10 +141,10 @@
     if (!fields.has(key)) {
         return {};
     }
-    const auto word = fields.text(key);
-    const auto address = Address::parse(std::string(word) + ":0");
+    const auto value = fields.text(key);
+    const auto address = Address::parse(std::string(value) + ":0");
     if (!address || !address->isValid()) {
-        fields.fault(key, "is not an IP number", "give an IPv4 number, such as \"10.0.0.1\"");
+        fields.fault(key, "is not an IP address", "give an IPv4 address, such as \"10.0.0.1\"");
         return {};
     }
     return *address;
@@ -182,7 +183,7 @@
     }
     this->settings.readyPath = fields.text("ready_path");
     if (this->settings.readyPath.empty() || this->settings.readyPath.front() != '/') {
-        fields.fault("ready_path", "is no path", "begin it with \"/\"");
+        fields.fault("ready_path", "is not an absolute path", "begin it with \"/\"");
     }
 }
 
@@ -198,7 +199,8 @@
     this->settings.init.flowsTracked =
             fields.number("flows_tracked", { flowsTrackedMin, countMax, config::flowsTracked });
     if (!isPowerOfTwo(this->settings.init.flowsTracked)) {
-        fields.fault("flows_tracked", "is no power of two", "give such as 16384");
+        fields.fault("flows_tracked", "is not a power of two",
+                     "give a power of two, such as 16384");
     }
 }
 
@@ -208,14 +210,14 @@
     if (!fields.has(key)) {
         return;
     }
-    const auto word = fields.text(key);
-    if (word == "table") {
+    const auto value = fields.text(key);
+    if (value == "table") {
         return;
     }
-    const auto address = Address::parse(word);
+    const auto address = Address::parse(value);
     if (!address || address->port != 0) {
-        fields.fault(key, "is neither \"table\" nor an IP number with port 0",
-                     "give \"table\", or such as \"127.0.0.1:0\"");
+        fields.fault(key, "is neither \"table\" nor an IP address with port 0",
+                     "give \"table\", or an address such as \"127.0.0.1:0\"");
         return;
     }
     this->settings.servicesFromTable = false;
@@ -240,7 +242,7 @@
 {
     auto fields = this->reader("platform", platformFields);
     this->settings.platform = fields.address("address");
-    this->settings.init.readsDirectory = fields.word("publishes", publishedWords, 0) == 1;
+    this->settings.init.readsDirectory = fields.word("publishes", publishesNames, 0) == 1;
 }
 
 auto SettingsReader::readSeeds() -> void
@@ -283,15 +285,16 @@
 auto SettingsReader::readLog() -> void
 {
     auto fields = this->reader("log", logFields);
-    constexpr auto usual = static_cast<std::size_t>(LogLevel::Info);
-    this->settings.logLevel = static_cast<LogLevel>(fields.word("level", levelWords, usual));
+    constexpr auto defaultLevel = static_cast<std::size_t>(LogLevel::Info);
+    this->settings.logLevel =
+            static_cast<LogLevel>(fields.word("level", logLevelNames, defaultLevel));
 }
 
 auto SettingsReader::readPolicy() -> void
 {
     auto fields = this->reader("policy", policyFields);
     auto &init = this->settings.init;
-    init.policy = static_cast<Policy>(fields.word("placement", policyWords, 0));
+    init.policy = static_cast<Policy>(fields.word("placement", policyNames, 0));
     constexpr auto seedMax = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
     init.seed = fields.number("seed", { 0, seedMax, init.seed });
 }
@@ -301,8 +304,8 @@
 auto parseSettings(std::string_view text, std::string_view file) -> tl::expected<Settings, Findings>
 {
     FindingList findings(file);
-    const auto read = readToml(text, findings);
-    auto settings = SettingsReader(read, findings).take();
+    const auto document = readToml(text, findings);
+    auto settings = SettingsReader(document, findings).parse();
     if (!findings.isEmpty()) {
         return tl::unexpected(findings.takeSorted());
     }
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -1,4 +1,4 @@
-/// The settings of a host.
+/// Settings of a host and their parser.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -13,7 +13,7 @@
 
 namespace flamingograde {
 
-/// How much is logged.
+/// Least severe level that is logged.
 enum class LogLevel : std::uint8_t {
     Error,
     Warn,
@@ -21,28 +21,28 @@
     Debug,
 };
 
-/// What a host is told in its settings file. docs/SETTINGS.md describes the file.
+/// Contents of a host's settings file, which docs/SETTINGS.md describes.
 struct Settings
 {
-    Init init; ///< For the deciding library; `self` has the advertised addresses
-               ///< that the file names, the others are invalid.
-    bool servicesFromTable = true;    ///< Rows are served at their own addresses.
-    Address services;                 ///< Otherwise: the IP number on whose free ports they are.
-    Address peer;                     ///< Where to listen for hosts' connections.
-    Address relay;                    ///< Where to listen for relayed requests.
-    Address admin;                    ///< Where to listen for operators.
-    Address ready;                    ///< Where the fabric asks whether to send; invalid: nowhere.
-    std::string readyPath = "/ready"; ///< What the fabric asks for.
-    Address packets;              ///< Where callers' packets come in; invalid: none are carried.
-    std::uint16_t callerPort = 0; ///< Of callers' hosts, for packets to them.
-    Address source;               ///< Of outgoing connections; invalid: the system's choice.
-    Address platform;             ///< Where the platform is read.
+    Init init; ///< Passed to the balancer. In `self`, an advertised address that the file does
+               ///< not name is invalid.
+    bool servicesFromTable = true; ///< Listen for each row at its own address in the table.
+    Address services;              ///< Else: IP address whose free ports rows listen on.
+    Address peer;                  ///< Listening address for connections of other hosts.
+    Address relay;                 ///< Listening address for relayed requests.
+    Address admin;                 ///< Listening address for operators' requests.
+    Address ready; ///< Listening address for the fabric's readiness checks; invalid: none.
+    std::string readyPath = "/ready"; ///< Path of the readiness check.
+    Address packets; ///< Listening address for callers' packets; invalid: packets are not carried.
+    std::uint16_t callerPort = 0; ///< Port of callers' hosts to which packets are sent.
+    Address source;   ///< Source of outgoing connections; invalid: chosen by the system.
+    Address platform; ///< Address of the platform.
     LogLevel logLevel = LogLevel::Info;
 };
 
-/// Reads and checks the settings in `text`.
-/// @param file the name that findings carry.
-/// @returns the settings, or every fault found.
+/// Parses and validates the settings in `text`.
+/// @param file the file name that findings report.
+/// @returns the settings, or all errors found.
 /// @remarks Thread safe. Throws nothing.
 [[nodiscard]] auto parseSettings(std::string_view text, std::string_view file)
         -> tl::expected<Settings, Findings>;
--- a/src/wire/wirereader.h
+++ b/src/wire/wirereader.h
@@ -1,4 +1,4 @@
-/// Strict reading of one decoded map.
+/// Typed access to the values of a decoded message, with checks of type and size.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,33 +11,35 @@
 
 namespace flamingograde {
 
-/// Reads values of the expected type and size, and remembers the first fault.
-/// @remarks Not thread safe. After a fault every value is a default one.
+/// Reads values of a decoded message, and records the first error. A value of the wrong type or
+/// size is an error.
+/// @remarks Not thread safe. Reading goes on after an error, so callers check `fault` after the
+/// last value; if it is set, none of the values may be used.
 class WireReader
 {
 public:
-    /// Returns the field `key` of `map`; faulty where it is missing.
+    /// Returns the field `key` of `map`; records an error if it is missing.
     [[nodiscard]] auto field(const nlohmann::json &map, const char *key) -> const nlohmann::json &;
 
-    /// Returns a whole number from 0 to `max`.
+    /// Reads an integer from 0 to `max`.
     [[nodiscard]] auto number(const nlohmann::json &value,
                               std::uint64_t max = std::numeric_limits<std::uint64_t>::max())
             -> std::uint64_t;
-    /// Returns a whole number of any sign that fits.
+    /// Reads a signed integer of 64 bits.
     [[nodiscard]] auto signedNumber(const nlohmann::json &value) -> std::int64_t;
-    /// Returns a truth value.
+    /// Reads a boolean.
     [[nodiscard]] auto flag(const nlohmann::json &value) -> bool;
-    /// Returns a text of at most `bytesMax`.
+    /// Reads a string of at most `bytesMax` bytes.
     [[nodiscard]] auto text(const nlohmann::json &value, std::size_t bytesMax) -> std::string;
-    /// Returns a name: neither empty nor long, without control characters.
+    /// Reads a name: a string of 1 to 255 bytes without control characters.
     [[nodiscard]] auto name(const nlohmann::json &value) -> std::string;
-    /// Returns a list of at most `sizeMax` entries.
+    /// Reads an array of at most `sizeMax` elements.
     [[nodiscard]] auto list(const nlohmann::json &value, std::size_t sizeMax)
             -> const nlohmann::json &;
-    /// Returns a list of exactly `size` entries, or null where it is another.
+    /// Reads an array of exactly `size` elements; null if it is anything else.
     [[nodiscard]] auto tuple(const nlohmann::json &value, std::size_t size)
             -> const nlohmann::json *;
-    /// Returns a list of ids.
+    /// Reads an array of at most `sizeMax` IDs.
     template<typename Id>
     [[nodiscard]] auto ids(const nlohmann::json &value, std::size_t sizeMax) -> std::vector<Id>
     {
@@ -48,9 +50,9 @@
         return result;
     }
 
-    /// Notes a fault; only the first one stays.
+    /// Records an error; only the first one is kept.
     auto fail(const std::string &what) -> void;
-    /// Returns the first fault; empty for none.
+    /// Returns the first error; empty if there is none.
     [[nodiscard]] auto fault() const -> const std::string & { return this->firstFault; }
 
 private:
--- a/tests/net/storeanswertests.cpp
+++ b/tests/net/storeanswertests.cpp
@@ -1,4 +1,4 @@
-/// What is read from the store's answers, and answers that are none.
+/// Parsing of the store's responses, and rejection of invalid ones.
 #include "platform/storeanswers.h"
 #include "platform/storevalues.h"
 #include "wire/messagecodec.h"
@@ -64,7 +64,7 @@
 
 } // namespace
 
-TEST_CASE("an instance is the number at the end of an id", "[store]")
+TEST_CASE("an instance is the hexadecimal number at the end of an upstream ID", "[store]")
 {
     CHECK(instanceOf("i-3aaee8c3fa") == InstanceId(0x3aaee8c3fa));
     CHECK(instanceOf("I-FF") == InstanceId(0xff));
@@ -75,7 +75,7 @@
     CHECK_FALSE(instanceOf("i-0").isValid());
 }
 
-TEST_CASE("a server's value becomes an upstream", "[store]")
+TEST_CASE("every field of an upstream's value is parsed", "[store]")
 {
     const auto upstream = readUpstream("i-0a", server().dump());
     REQUIRE(upstream);
@@ -91,7 +91,7 @@
     CHECK(upstream->born == WallTime(std::chrono::milliseconds(1764700000123)));
 }
 
-TEST_CASE("a value that lacks something or has it wrong is told", "[store]")
+TEST_CASE("an upstream with a missing or invalid field is rejected", "[store]")
 {
     for (const auto *field :
          { "service", "address", "zone", "version", "slots", "state", "coldLeftMs", "seq" }) {
@@ -103,46 +103,46 @@
         broken[field] = json::array();
         CHECK_FALSE(readUpstream("i-0a", broken.dump()));
     }
-    auto strange = server();
-    strange["state"] = "asleep";
-    CHECK_FALSE(readUpstream("i-0a", strange.dump()));
-    strange = server();
-    strange["address"] = "nowhere";
-    CHECK_FALSE(readUpstream("i-0a", strange.dump()));
+    auto invalid = server();
+    invalid["state"] = "asleep";
+    CHECK_FALSE(readUpstream("i-0a", invalid.dump()));
+    invalid = server();
+    invalid["address"] = "nowhere";
+    CHECK_FALSE(readUpstream("i-0a", invalid.dump()));
     CHECK_FALSE(readUpstream("nobody", server().dump()));
     CHECK_FALSE(readUpstream("i-0a", "{"));
     CHECK_FALSE(readUpstream("i-0a", "[]"));
-    // What is not known is passed over. Upstreams that do not say when they started are good.
-    auto more = server();
-    more["colour"] = "blue";
-    more.erase("born");
-    const auto unborn = readUpstream("i-0a", more.dump());
-    REQUIRE(unborn);
-    CHECK(unborn->born == WallTime());
+    // Unknown fields are ignored, and the start time is optional.
+    auto extended = server();
+    extended["colour"] = "blue";
+    extended.erase("born");
+    const auto withoutStart = readUpstream("i-0a", extended.dump());
+    REQUIRE(withoutStart);
+    CHECK(withoutStart->born == WallTime());
     for (const auto &born : { json("1764700000123"), json(1764700000123.5), json(-1), json(true),
                               json(1e300), json::array(), json::object() }) {
-        auto strangeStart = server();
-        strangeStart["born"] = born;
-        CHECK_FALSE(readUpstream("i-0a", strangeStart.dump()));
+        auto invalidStart = server();
+        invalidStart["born"] = born;
+        CHECK_FALSE(readUpstream("i-0a", invalidStart.dump()));
     }
-    auto unprintable = server();
-    unprintable["zone"] = "hall\n1";
-    CHECK_FALSE(readUpstream("i-0a", unprintable.dump()));
+    auto withControlCharacter = server();
+    withControlCharacter["zone"] = "hall\n1";
+    CHECK_FALSE(readUpstream("i-0a", withControlCharacter.dump()));
     CHECK_FALSE(readUpstream("i\n-0a", server().dump()));
 }
 
-TEST_CASE("an entry of another writer names no upstream, and the others hold", "[store]")
+TEST_CASE("invalid upstream entries are listed as faulty, and the valid one is kept", "[store]")
 {
-    auto strange = server();
-    strange["slots"] = "many";
+    auto invalid = server();
+    invalid["slots"] = "many";
     const json body {
         { "items",
-          { item("servers/i-01", server().dump(), 31), item("servers/i-02", strange.dump(), 32),
+          { item("servers/i-01", server().dump(), 31), item("servers/i-02", invalid.dump(), 32),
             item("servers/i-03", "\xff\xfe", 33), item("servers/nobody", server().dump(), 34) } },
         { "morePages", false },
         { "currentRev", 40 }
     };
-    const auto answer = readItems(body.dump());
+    const auto answer = parseItems(body.dump());
     REQUIRE(answer);
     REQUIRE(answer->update.present.size() == 1);
     CHECK(answer->update.present[0].upstream.instance == InstanceId(1));
@@ -153,14 +153,15 @@
     CHECK(answer->faults.size() == 3);
 }
 
-TEST_CASE("of several events of one upstream in an answer the last one counts", "[store]")
+TEST_CASE("the last of several writes of one upstream in a response counts, valid or not",
+          "[store]")
 {
     const json body { { "events",
                         { item("servers/i-01", server().dump(), 31), item("servers/i-01", "{", 32),
                           item("servers/i-02", "{", 33),
                           item("servers/i-02", server().dump(), 34) } },
                       { "currentRev", 40 } };
-    const auto answer = readEvents(body.dump());
+    const auto answer = parseEvents(body.dump());
     REQUIRE(answer);
     REQUIRE(answer->update.present.size() == 1);
     CHECK(answer->update.present[0].upstream.instance == InstanceId(2));
@@ -168,23 +169,24 @@
     CHECK(answer->update.faulty[0].instance == InstanceId(1));
 }
 
-TEST_CASE("whatever entry is accepted can be told to other hosts", "[store][fuzz]")
+TEST_CASE("an accepted upstream can be sent to other hosts", "[store][fuzz]")
 {
-    // One strange entry must not spoil the message that carries all the others.
-    const std::vector<json> strange { nullptr,
-                                      true,
-                                      -1,
-                                      0,
-                                      1.5,
-                                      1e300,
-                                      "",
-                                      "a\tb",
-                                      std::string(300, 'x'),
-                                      json::array(),
-                                      json::object(),
-                                      18446744073709551615U,
-                                      "ready",
-                                      "10.0.0.1:0" };
+    // Guards against an entry that the parser accepts but that other hosts refuse to decode: it
+    // would make them reject the message that carries all the other upstreams.
+    const std::vector<json> unusualValues { nullptr,
+                                            true,
+                                            -1,
+                                            0,
+                                            1.5,
+                                            1e300,
+                                            "",
+                                            "a\tb",
+                                            std::string(300, 'x'),
+                                            json::array(),
+                                            json::object(),
+                                            18446744073709551615U,
+                                            "ready",
+                                            "10.0.0.1:0" };
     std::mt19937_64 random(fuzzSeed);
     std::size_t accepted = 0;
     for (int i = 0; i < fuzzInputs; ++i) {
@@ -192,7 +194,7 @@
         for (auto changes = 1 + random() % 3; changes > 0; --changes) {
             auto field = entry.begin();
             std::advance(field, random() % entry.size());
-            *field = strange[random() % strange.size()];
+            *field = unusualValues[random() % unusualValues.size()];
         }
         const auto upstream = readUpstream("i-0a", entry.dump());
         if (!upstream) {
@@ -207,24 +209,24 @@
     CHECK(accepted > 0);
 }
 
-TEST_CASE("routes become rows", "[store]")
+TEST_CASE("routes are parsed into rows", "[store]")
 {
-    auto both = sampleConfig();
-    auto weighted = route();
-    weighted["name"] = "r-2";
-    weighted["host"] = "198.18.0.8";
-    weighted["routeType"] = "unsafe";
-    weighted["priority"] = 0;
-    weighted.erase("service");
-    weighted["weightedTargets"] = { { { "service", "desk" }, { "weight", 90 } },
-                                    { { "service", "vault" }, { "weight", 10 } } };
-    both["routes"].push_back(weighted);
+    auto threeRoutes = sampleConfig();
+    auto weightedRoute = route();
+    weightedRoute["name"] = "r-2";
+    weightedRoute["host"] = "198.18.0.8";
+    weightedRoute["routeType"] = "unsafe";
+    weightedRoute["priority"] = 0;
+    weightedRoute.erase("service");
+    weightedRoute["weightedTargets"] = { { { "service", "desk" }, { "weight", 90 } },
+                                         { { "service", "vault" }, { "weight", 10 } } };
+    threeRoutes["routes"].push_back(weightedRoute);
     auto upload = route();
     upload["name"] = "r-3";
     upload["prefix"] = "/9000/";
     upload["routeType"] = "upload";
-    both["routes"].push_back(upload);
-    const auto rows = readRows(both.dump());
+    threeRoutes["routes"].push_back(upload);
+    const auto rows = readRows(threeRoutes.dump());
     REQUIRE(rows);
     CHECK((*rows)->version == 12);
     CHECK((*rows)->flowIdle == std::chrono::milliseconds(12000));
@@ -247,7 +249,7 @@
     CHECK_FALSE(third.idempotent);
 }
 
-TEST_CASE("cold limits of services are read, and a service without a rate has none", "[store]")
+TEST_CASE("cold limits are parsed, and a service with no rate or a rate of 0 has none", "[store]")
 {
     auto limited = sampleConfig();
     limited["services"] = json::array({
@@ -274,7 +276,7 @@
     CHECK_FALSE(readRows(limited.dump()));
 }
 
-TEST_CASE("a configuration with a fault is refused whole", "[store]")
+TEST_CASE("a configuration with any invalid field is rejected as a whole", "[store]")
 {
     for (const auto *prefix : { "8443", "/8443", "//", "/0/", "/70000/", "/x/", "" }) {
         auto wrong = sampleConfig();
@@ -297,14 +299,14 @@
     CHECK(readRows(sampleConfig().dump()));
 }
 
-TEST_CASE("an answer holds rows and upstreams, and passes over other keys", "[store]")
+TEST_CASE("a response yields rows and upstreams, and other keys are ignored", "[store]")
 {
     const json body { { "items",
                         { item("op/config", sampleConfig().dump(), 5),
                           item("servers/i-0a", server().dump(), 7), item("other/thing", "x", 6) } },
                       { "morePages", true },
                       { "currentRev", 9 } };
-    const auto answer = readItems(body.dump());
+    const auto answer = parseItems(body.dump());
     REQUIRE(answer);
     CHECK(answer->faults.empty());
     CHECK(answer->update.upTo.number == 9);
@@ -316,7 +318,7 @@
     CHECK(answer->update.present[0].created.number == 6);
 }
 
-TEST_CASE("one bad item leaves the others good", "[store]")
+TEST_CASE("invalid items are reported, and the valid one is kept", "[store]")
 {
     auto notBase64 = item("servers/i-0b", "x", 8);
     notBase64["value"] = "***";
@@ -327,14 +329,15 @@
                           { { "key", "servers/i-0d" } } } },
                       { "morePages", false },
                       { "currentRev", 9 } };
-    const auto answer = readItems(body.dump());
+    const auto answer = parseItems(body.dump());
     REQUIRE(answer);
     CHECK(answer->faults.size() == 3);
     CHECK(answer->update.present.size() == 1);
     CHECK(answer->nextPage.empty());
 }
 
-TEST_CASE("of several events on one upstream the last counts", "[store]")
+TEST_CASE("a removal after a write of an upstream counts, and one of the rows is ignored",
+          "[store]")
 {
     const json removed { { "key", "servers/i-0a" }, { "revision", 8 }, { "removed", true } };
     const json body { { "events",
@@ -343,7 +346,7 @@
                           item("servers/i-0b", server().dump(), 9),
                           { { "key", "op/config" }, { "revision", 10 }, { "removed", true } } } },
                       { "currentRev", 11 } };
-    const auto answer = readEvents(body.dump());
+    const auto answer = parseEvents(body.dump());
     REQUIRE(answer);
     REQUIRE(answer->update.present.size() == 1);
     CHECK(answer->update.present[0].upstream.instance == InstanceId(11));
@@ -353,7 +356,7 @@
     CHECK(answer->update.rows == nullptr);
 }
 
-TEST_CASE("an evacuation key is an order whatever its value", "[store]")
+TEST_CASE("an evacuation key is an order in force whatever its value", "[store]")
 {
     auto notBase64 = item("op/evacuate/hall-3", "x", 8);
     notBase64["value"] = "***";
@@ -362,7 +365,7 @@
                           notBase64, item("op/evacuate/hall-4", std::string(1U << 20U, 'x'), 9) } },
                       { "morePages", false },
                       { "currentRev", 9 } };
-    const auto answer = readItems(body.dump());
+    const auto answer = parseItems(body.dump());
     REQUIRE(answer);
     CHECK(answer->faults.empty());
     REQUIRE(answer->update.evacuations.size() == 4);
@@ -373,7 +376,7 @@
     CHECK(answer->update.evacuations[2].zoneName == "hall-3");
 }
 
-TEST_CASE("the last of several evacuation orders for one zone in an answer counts", "[store]")
+TEST_CASE("the last of several evacuation orders for one zone in a response counts", "[store]")
 {
     const auto removal = [](const std::string &key, std::uint64_t revision) {
         return json { { "key", key }, { "revision", revision }, { "removed", true } };
@@ -382,7 +385,7 @@
                         { item("op/evacuate/hall-1", "{}", 5), removal("op/evacuate/hall-1", 6),
                           removal("op/evacuate/hall-2", 7), item("op/evacuate/hall-2", "{}", 8) } },
                       { "currentRev", 9 } };
-    const auto answer = readEvents(body.dump());
+    const auto answer = parseEvents(body.dump());
     REQUIRE(answer);
     REQUIRE(answer->update.evacuations.size() == 2);
     CHECK_FALSE(answer->update.evacuations[0].inForce);
@@ -401,24 +404,24 @@
                           item("servers/i-0a", server().dump(), 8) } },
                       { "morePages", false },
                       { "currentRev", 9 } };
-    const auto answer = readItems(body.dump());
+    const auto answer = parseItems(body.dump());
     REQUIRE(answer);
     CHECK(answer->faults.size() == 4);
     CHECK(answer->update.evacuations.empty());
     CHECK(answer->update.present.size() == 1);
 }
 
-TEST_CASE("answers that are none are refused", "[store]")
+TEST_CASE("malformed responses are rejected", "[store]")
 {
     for (const auto *body : { "", "x", "[]", "{}", R"({"items": 5, "currentRev": 1})",
                               R"({"events": []})", R"({"items": [], "currentRev": "x"})" }) {
         INFO(body);
-        CHECK_FALSE(readItems(body));
-        CHECK_FALSE(readEvents(body));
+        CHECK_FALSE(parseItems(body));
+        CHECK_FALSE(parseEvents(body));
     }
 }
 
-TEST_CASE("any answer is read or refused, never more", "[store]")
+TEST_CASE("mutated responses are parsed or rejected without throwing", "[store]")
 {
     std::mt19937_64 random(fuzzSeed);
     const json body { { "items",
@@ -444,9 +447,9 @@
                 text.insert(at, 1, "0123456789{}[]\",:-e."[random() % 20]);
             }
         }
-        const auto answer = readItems(text);
+        const auto answer = parseItems(text);
         refused += answer ? 0 : 1;
-        (void)readEvents(text);
+        (void)parseEvents(text);
         for (auto value : values) {
             value[random() % value.size()] = static_cast<char>(random());
             (void)readRows(value);
--- a/tests/unit/messagecodectest.cpp
+++ b/tests/unit/messagecodectest.cpp
@@ -1,4 +1,4 @@
-/// Messages between hosts: round trips, sizes, and bytes that no host would send.
+/// Encoding of messages between hosts: round trips, encoded sizes, and rejection of invalid input.
 #include "packetboard.h"
 
 #include "wire/messagecodec.h"
@@ -73,7 +73,7 @@
     return { 5, { CellId(1) }, { CellId(2), knowledge.cell }, { knowledge.cell }, { knowledge } };
 }
 
-/// Returns changes of two upstreams, a removal and rows.
+/// Returns an update with an entry in each of its fields.
 auto sampleUpdate() -> DirectoryUpdate
 {
     DirectoryUpdate update;
@@ -126,7 +126,7 @@
 
 } // namespace
 
-TEST_CASE("every message survives the wire", "[codec]")
+TEST_CASE("every message is the same after encoding, decoding and encoding again", "[codec]")
 {
     for (const auto &message : samples()) {
         const auto bytes = encode(message);
@@ -137,7 +137,7 @@
     }
 }
 
-TEST_CASE("decoded fields are those that were sent", "[codec]")
+TEST_CASE("fields of a hello, a claim grant and a key report are decoded as encoded", "[codec]")
 {
     const auto hello = decode(encode(samples().front()));
     REQUIRE(hello);
@@ -169,7 +169,7 @@
     CHECK(std::get<KeyReport>(*report).tenureSinceUs == -1);
 }
 
-TEST_CASE("a host whose reads work says so by leaving the mark out", "[codec]")
+TEST_CASE("the flag for failing reads is false when absent", "[codec]")
 {
     auto gossip = sampleGossip();
     gossip.readsFail = false;
@@ -178,7 +178,7 @@
     CHECK_FALSE(std::get<Ping>(*decoded).gossip.readsFail);
 }
 
-TEST_CASE("an update of the directory arrives as it was sent", "[codec]")
+TEST_CASE("a directory update is decoded as encoded", "[codec]")
 {
     const auto sent = sampleUpdate();
     const auto decoded = decode(encode(sent));
@@ -214,7 +214,8 @@
     CHECK(row.urgency == 7);
 }
 
-TEST_CASE("a grant hands over what its sender knows", "[codec]")
+TEST_CASE("keys handed over by a claim grant, and a claim release, are decoded as encoded",
+          "[codec]")
 {
     const auto sent = sampleGrant(3);
     const auto decoded = decode(encode(sent));
@@ -237,26 +238,29 @@
     CHECK(std::get<ClaimRelease>(*release).cells.size() == 2);
 }
 
-TEST_CASE("a grant stays small and bounded", "[codec]")
+TEST_CASE("a claim grant has a bounded size, and one with too many keys or a bad state is rejected",
+          "[codec]")
 {
-    const auto few = encode(sampleGrant(100)).size();
-    const auto most = encode(sampleGrant(config::handoverKeysMax)).size();
-    INFO("100 keys: " << few << " bytes; " << config::handoverKeysMax << " keys: " << most);
-    CHECK(few <= 2200);
-    CHECK(most <= config::peerMessageMax / 8);
+    const auto sizeOf100Keys = encode(sampleGrant(100)).size();
+    const auto sizeOfMostKeys = encode(sampleGrant(config::handoverKeysMax)).size();
+    INFO("100 keys: " << sizeOf100Keys << " bytes; " << config::handoverKeysMax
+                      << " keys: " << sizeOfMostKeys);
+    CHECK(sizeOf100Keys <= 2200);
+    CHECK(sizeOfMostKeys <= config::peerMessageMax / 8);
     CHECK_FALSE(decode(encode(sampleGrant(config::handoverKeysMax + 1))));
-    auto strange = sampleGrant(1);
-    strange.knowledge.front().keys.front().state = static_cast<KeyState>(9);
-    CHECK_FALSE(decode(encode(strange)));
+    auto invalidState = sampleGrant(1);
+    invalidState.knowledge.front().keys.front().state = static_cast<KeyState>(9);
+    CHECK_FALSE(decode(encode(invalidState)));
 }
 
-TEST_CASE("a probe without news stays small", "[codec]")
+TEST_CASE("an encoded ping stays within 40 bytes without gossip and 220 bytes with it", "[codec]")
 {
     CHECK(encode(Ping { 1000, Gossip {} }).size() <= 40);
     CHECK(encode(Ping { 1000, sampleGossip() }).size() <= 220);
 }
 
-TEST_CASE("mutated messages are refused or read, never more", "[codec]")
+TEST_CASE("mutated messages are rejected, or decoded into messages that can be encoded and decoded",
+          "[codec]")
 {
     std::mt19937_64 random(mutationSeed);
     const auto originals = samples();
@@ -292,7 +296,7 @@
     CHECK(refused > mutations / 2);
 }
 
-TEST_CASE("hostile bytes are refused", "[codec]")
+TEST_CASE("malformed and oversized messages are rejected", "[codec]")
 {
     const std::vector<std::uint8_t> nested(1U << 20U, 0x81);
     CHECK_FALSE(decode(nested));
@@ -305,12 +309,12 @@
     auto trailing = encode(TableRequest { Revision { 1 } });
     trailing.push_back(0);
     CHECK_FALSE(decode(trailing));
-    auto faulty = sampleUpdate();
-    faulty.present[0].upstream.instance = InstanceId();
-    CHECK_FALSE(decode(encode(faulty)));
-    auto nameless = sampleMember("x", MemberState::Alive);
-    nameless.name.clear();
-    CHECK_FALSE(decode(encode(Hello { nameless, {} })));
+    auto withoutInstance = sampleUpdate();
+    withoutInstance.present[0].upstream.instance = InstanceId();
+    CHECK_FALSE(decode(encode(withoutInstance)));
+    auto withoutName = sampleMember("x", MemberState::Alive);
+    withoutName.name.clear();
+    CHECK_FALSE(decode(encode(Hello { withoutName, {} })));
     CHECK_FALSE(
             decode(encode(KeyLookup { 1, CellId(1), std::string(config::keyBytesMax + 1, 'k') })));
     CHECK_FALSE(decode(
@@ -347,7 +351,7 @@
     CHECK(std::get<DirectoryUpdate>(*older).rows->coldLimits.empty());
 }
 
-TEST_CASE("an update of a host that knows neither starts nor faulty entries is read", "[codec]")
+TEST_CASE("a directory update without start times and faulty entries is decoded", "[codec]")
 {
     auto map = nlohmann::json::from_cbor(encode(sampleUpdate()));
     const auto count = map.size();
@@ -360,7 +364,7 @@
     CHECK(update.present.size() == 2);
     CHECK(update.present[1].upstream.born == WallTime());
     CHECK(update.faulty.empty());
-    // One start too few is no such update.
+    // The number of start times must match the number of upstreams.
     map["b"] = { 1 };
     CHECK_FALSE(decode(nlohmann::json::to_cbor(map)));
 }
--- a/tests/unit/settingstests.cpp
+++ b/tests/unit/settingstests.cpp
@@ -1,4 +1,4 @@
-/// Tests of the settings file.
+/// Parsing of the settings file and the errors it reports.
 #include "wire/settings.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 namespace {
 
-const std::string whole = R"([host]
+const std::string completeSettings = R"([host]
 name = "auckland-1-a"
 zone = "auckland-1"
 [listen]
@@ -51,9 +51,9 @@
 
 } // namespace
 
-TEST_CASE("every setting is read", "[settings]")
+TEST_CASE("settings of every section are parsed", "[settings]")
 {
-    const auto settings = parseSettings(whole, "host.toml");
+    const auto settings = parseSettings(completeSettings, "host.toml");
     REQUIRE(settings);
     CHECK(settings->init.self.name == "auckland-1-a");
     CHECK(settings->init.self.id == HostId::ofName("auckland-1-a"));
@@ -78,7 +78,7 @@
     CHECK(settings->init.seed == 9);
 }
 
-TEST_CASE("all but host and platform has a default", "[settings]")
+TEST_CASE("all sections but host and platform are optional", "[settings]")
 {
     const auto settings = parseSettings("[host]\nname = \"a\"\nzone = \"z\"\n[platform]\n"
                                         "address = \"10.0.0.1:80\"\n",
@@ -91,7 +91,8 @@
     CHECK(settings->init.seed == HostId::ofName("a").value());
 }
 
-TEST_CASE("the bandwidth of a host's link is rounded up, and above 0", "[settings]")
+TEST_CASE("link_mbps is rounded up and capped, and a value that is not above 0 is rejected",
+          "[settings]")
 {
     const auto read = [](const std::string &value) {
         return parseSettings("[host]\nname = \"a\"\nzone = \"z\"\nlink_mbps = " + value
@@ -108,7 +109,7 @@
     }
 }
 
-TEST_CASE("all faults are told at once, each in its place", "[settings]")
+TEST_CASE("all errors of a file are reported, each with its line", "[settings]")
 {
     const auto settings = parseSettings("[host]\n"
                                         "name = \"a b\"\n"
@@ -137,14 +138,14 @@
     CHECK(hasFinding(findings, 13, "source"));
 }
 
-TEST_CASE("a missing section is told", "[settings]")
+TEST_CASE("an empty file is reported with an error for each required field", "[settings]")
 {
     const auto settings = parseSettings("", "host.toml");
     REQUIRE_FALSE(settings);
     CHECK(settings.error().size() == 3);
 }
 
-TEST_CASE("sections of the wrong form are faults", "[settings]")
+TEST_CASE("a value in place of a section is an error", "[settings]")
 {
     const auto settings = parseSettings("host = 1\nseed = \"x\"\nplatform = [1]\n", "host.toml");
     REQUIRE_FALSE(settings);
