--- a/include/flamingograde/action.h
+++ b/include/flamingograde/action.h
@@ -1,4 +1,4 @@
-/// What a host is to do: the outputs of the library.
+/// Actions: the outputs of the library, which tell the transport what to do.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -16,7 +16,7 @@
 namespace flamingograde {
 
 /// Send the exchange's request to an upstream now.
-/// @remarks The transport answers each with `ExchangeProgress` of the same attempt.
+/// @remarks The transport reports on each with `ExchangeProgress` of the same attempt.
 struct Dispatch
 {
     ExchangeId exchange;
@@ -26,11 +26,11 @@
     std::string service; ///< Sent as `Host`, so that an upstream of another service refuses it.
     std::string rowName; ///< Sent as `Flamingograde-Row`.
     std::string key;     ///< Sent as `Idempotency-Key`; empty for none.
-    bool freshConnection =
-            false; ///< No pooled connection: a stale one would leave it unknown whether it ran.
-    bool keepAnswer = false;  ///< Give the whole answer with `Answered` if it is small enough.
-    Duration remaining { 0 }; ///< Time left; sent to the upstream, and the transport's timeout.
-    WallTime expires;         ///< Not to be sent after this.
+    bool freshConnection = false; ///< Use no pooled connection: if it is stale, it is unknown
+                                  ///< whether the request ran.
+    bool keepAnswer = false;      ///< Attach the whole answer to `Answered` if it is small enough.
+    Duration remaining { 0 };     ///< Time left; sent to the upstream and used as the timeout.
+    WallTime expires;             ///< The request must not be sent after this time.
 };
 
 /// Send the exchange's request to the home host of its cell.
@@ -48,7 +48,7 @@
     Duration remaining { 0 };
 };
 
-/// Open a feed at an upstream, or open it again there after `lastEventId` known to the transport.
+/// Open a feed at an upstream, or reopen it there after the last event id that the transport knows.
 struct OpenFeed
 {
     ExchangeId exchange;
@@ -57,44 +57,45 @@
     Address address;
     std::string service;
     std::string rowName; ///< Sent as `Flamingograde-Row`.
-    bool reopen = false; ///< The answer's head was already passed to the caller.
+    bool reopen = false; ///< True if the answer's head has already been passed to the caller.
 };
 
-/// Pass the answer whose head was just reported on to the caller or relaying host.
+/// Forward the answer whose head was just reported to the caller or the relaying host.
 struct PassAnswer
 {
     ExchangeId exchange;
     std::string setToken; ///< The flow token to set; empty for none.
 };
 
-/// Answer with a kept answer.
+/// Answer with a stored answer.
 struct ReplayAnswer
 {
     ExchangeId exchange;
-    std::shared_ptr<const std::string> whole; ///< As given with `Answered`.
+    std::shared_ptr<const std::string> whole; ///< The whole answer, as reported with `Answered`.
 };
 
-/// Answer with a refusal. Final; anything the exchange had sent is dropped.
+/// Answer with a refusal. It is final; a request that the exchange has sent is cancelled.
 struct Refuse
 {
     ExchangeId exchange;
     Refusal refusal;
 };
 
-/// Drop what the exchange had sent (close its connection to the upstream or home).
+/// Cancel the request that the exchange has sent, by closing its connection to the upstream or
+/// home.
 struct Cancel
 {
     ExchangeId exchange;
 };
 
-/// The answer broke off after its head was passed: cut the caller's connection, so that a part
-/// is not taken for the whole.
+/// Close the caller's connection, as the answer broke off after its head was forwarded: the caller
+/// must not take the part for the whole answer.
 struct AbortAnswer
 {
     ExchangeId exchange;
 };
 
-/// End a feed at an event's boundary; its caller reopens it at another host.
+/// End a feed between two events; its caller reopens it at another host.
 struct EndFeed
 {
     ExchangeId exchange;
@@ -108,27 +109,27 @@
     std::string service;
 };
 
-/// Have a connection with a host. Without effect where one is up or coming.
+/// Connect to a host. Has no effect if a connection exists or is being established.
 struct ConnectPeer
 {
     HostId host;
     Address address;
 };
 
-/// Close the connection with a host.
+/// Close the connection to a host.
 struct DropPeer
 {
     HostId host;
 };
 
-/// Send a message to a host. Dropped where no connection is up.
+/// Send a message to a host. Dropped if there is no connection to it.
 struct SendPeer
 {
     HostId host;
     Message message;
 };
 
-/// Send one message to several hosts; it is encoded once. Left out where no connection is up.
+/// Send one message, encoded once, to several hosts. Hosts without a connection are skipped.
 struct SendPeers
 {
     std::vector<HostId> hosts;
@@ -138,36 +139,36 @@
 /// Read the platform's table.
 struct ReadTable
 {
-    Revision after;      ///< What this host has.
-    Duration wait { 0 }; ///< How long the platform may hold the call until there is a newer one.
+    Revision after;      ///< Newest revision known to this host, refused ones included.
+    Duration wait { 0 }; ///< How long the platform may hold the call until a newer table exists.
 };
 
 /// Read the platform's host list.
 struct ReadHosts
 {};
 
-/// Read the directory's changes, or all of it. Answered with `DirectoryRead` or
-/// `DirectoryReadFailed`; one read is under way at a time.
+/// Read the changes of the directory, or the whole directory. Answered with `DirectoryRead` or
+/// `DirectoryReadFailed`; only one read is in progress at a time.
 struct ReadDirectory
 {
-    Revision after;         ///< Up to where this host has the changes; invalid: all is read.
-    Duration wait { 0 };    ///< How long the platform may hold the call until there is a change.
-    bool mayBeLate = false; ///< An answer that is some seconds old will do: it is cheaper.
+    Revision after;         ///< This host has the changes up to this; invalid: read everything.
+    Duration wait { 0 };    ///< How long the platform may hold the call until a change.
+    bool mayBeLate = false; ///< The answer may be some seconds old, which is cheaper.
 };
 
-/// Have a connection with whatever host takes connections at a seed's address.
+/// Connect to whichever host accepts connections at the address of a seed.
 struct ConnectSeed
 {
     Address address;
 };
 
-/// Take callers' connections for a row's address.
+/// Start to accept callers' connections at a row's address.
 struct Listen
 {
     Address address;
 };
 
-/// Take no more connections for an address.
+/// Stop accepting connections at an address.
 struct Unlisten
 {
     Address address;
@@ -180,10 +181,10 @@
     std::string text;
 };
 
-/// Everything is finished; the process may end.
+/// The orderly stop is complete; the process may end.
 struct StopReady
 {
-    std::string left; ///< What was not finished; empty for nothing.
+    std::string left; ///< Work that was not finished; empty if there is none.
 };
 
 using Action = std::variant<Dispatch, Relay, OpenFeed, PassAnswer, ReplayAnswer, Refuse, Cancel,
--- a/include/flamingograde/address.h
+++ b/include/flamingograde/address.h
@@ -1,4 +1,4 @@
-/// Where a socket is reached.
+/// IPv4 socket address.
 #pragma once
 
 #include <tl/expected.hpp>
@@ -10,24 +10,24 @@
 
 namespace flamingograde {
 
-/// An IPv4 number and a port, both in host byte order. The default value is invalid.
+/// An IPv4 address and a port, both in host byte order. The default value is invalid.
 struct Address
 {
     std::uint32_t ip = 0;
     std::uint16_t port = 0;
 
-    /// Reads "10.0.0.1:80".
-    /// @returns the address, or what is wrong with the text.
+    /// Parses text such as "10.0.0.1:80".
+    /// @returns the address, or a description of the error in the text.
     /// @remarks Thread safe.
     [[nodiscard]] static auto parse(std::string_view text) -> tl::expected<Address, std::string>;
 
-    /// Returns whether this names an IP number.
+    /// Returns whether the IP address is set.
     [[nodiscard]] constexpr auto isValid() const -> bool { return this->ip != 0; }
 
-    /// Returns the IP number alone, such as "10.0.0.1".
+    /// Returns the IP address without the port, such as "10.0.0.1".
     [[nodiscard]] auto ipText() const -> std::string;
 
-    /// Returns the text that `parse` reads.
+    /// Returns the address in the form that `parse` reads.
     [[nodiscard]] auto toString() const -> std::string;
 
     friend constexpr auto operator==(Address a, Address b) -> bool
--- a/include/flamingograde/balancer.h
+++ b/include/flamingograde/balancer.h
@@ -1,4 +1,4 @@
-/// The deciding library's entry point.
+/// Entry point of the library that decides for a host.
 #pragma once
 
 #include <flamingograde/action.h>
@@ -19,10 +19,10 @@
 class Blackboard;
 class Controllers;
 
-/// Decides everything that one host does. Takes events, returns actions.
+/// Makes all decisions of one host: takes events and returns actions.
 ///
-/// It has no clock, socket, thread or random source: times and seed are given to it, so that the
-/// same events give the same actions.
+/// It has no clock, socket, thread or random source of its own: times and the random seed are
+/// passed in, so that the same events give the same actions.
 /// @remarks Not thread safe: one loop on one thread owns it. Throws nothing.
 class Balancer
 {
@@ -33,28 +33,30 @@
     Balancer(const Balancer &) = delete;
     auto operator=(const Balancer &) -> Balancer & = delete;
 
-    /// Takes one event and returns what is to be done, in this order.
+    /// Processes one event and returns the resulting actions in the order of their execution.
     /// @param now both clocks at the event. Precondition: `now.mono` never falls.
     /// @param event what happened.
     /// @returns the actions; the reference is valid until the next call.
     [[nodiscard]] auto handle(Now now, Event event) -> const std::vector<Action> &;
 
-    /// Decides on a batch of callers' packets, in their order.
-    /// @param now both clocks. Precondition: `now.mono` never falls.
+    /// Decides on a batch of packets from callers, in order.
+    /// @param now both clocks at the call. Precondition: `now.mono` never falls.
     /// @param heads the packets. Precondition: `Init::flowsTracked` is not 0.
-    /// @param decisions gets one for each packet; nothing is allocated where it has the capacity.
+    /// @param decisions replaced by one decision per packet; nothing is allocated if its capacity
+    /// suffices.
     auto steer(Now now, const std::vector<PacketHead> &heads,
                std::vector<PacketDecision> &decisions) -> void;
 
-    /// Returns what decided on a packet, as `key=value` words for the log.
-    /// Precondition: the decision is of the last call of `steer`.
+    /// Returns the reasons for a decision as `key=value` words for the log.
+    /// Precondition: the decision was made by the last call of `steer`.
     [[nodiscard]] auto describe(const PacketHead &head, const PacketDecision &decision) const
             -> std::string;
 
-    /// Returns limits and version. Precondition: none.
+    /// Returns the limits and the version of this build. Precondition: none.
     [[nodiscard]] auto caps() const -> Caps;
 
-    /// Returns whether this host knows what to serve and does not stop. Precondition: none.
+    /// Returns whether this host has a table, or packet rows and upstreams, and is not stopping.
+    /// Precondition: none.
     [[nodiscard]] auto isServing() const -> bool;
 
     /// Returns the counters. Precondition: none.
@@ -63,8 +65,8 @@
     /// Returns the whole state as JSON text. Precondition: none.
     [[nodiscard]] auto dump() const -> std::string;
 
-    /// Says where a request to `address` with `token` and `key` would go now, and why, as JSON
-    /// text. Changes nothing. Precondition: none.
+    /// Returns where a request to `address` with `token` and `key` would go now, and why, as JSON
+    /// text. Changes no state. Precondition: none.
     [[nodiscard]] auto explain(Address address, const std::string &token,
                                const std::string &key) const -> std::string;
 
--- a/include/flamingograde/caps.h
+++ b/include/flamingograde/caps.h
@@ -1,4 +1,4 @@
-/// What a build of the library can do.
+/// Limits and version of the library.
 #pragma once
 
 #include <cstddef>
@@ -6,14 +6,14 @@
 
 namespace flamingograde {
 
-/// Capabilities and limits of this build.
+/// Version and limits of this build and its settings.
 struct Caps
 {
-    std::string version;           ///< Of the library.
-    std::size_t tableBytesMax = 0; ///< Largest table text.
+    std::string version;           ///< Version of the library.
+    std::size_t tableBytesMax = 0; ///< Largest table text in bytes.
     std::size_t tokenBytes = 0;    ///< Length of a flow token in characters.
-    std::size_t feedsMax = 0;      ///< Feeds held at once.
-    std::size_t exchangesMax = 0;  ///< Requests under way at once.
+    std::size_t feedsMax = 0;      ///< Feeds held open at once.
+    std::size_t exchangesMax = 0;  ///< Requests in progress at once.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/clock.h
+++ b/include/flamingograde/clock.h
@@ -1,13 +1,13 @@
-/// The two clocks whose readings are given to the library.
+/// Time types of the two clocks that the library uses.
 #pragma once
 
 #include <chrono>
 
 namespace flamingograde {
 
-using Duration = std::chrono::microseconds; ///< The unit of all time in the library.
+using Duration = std::chrono::microseconds; ///< The unit of all durations in the library.
 
-/// Tag of the clock that never jumps. It counts while the process is stopped.
+/// Tag of the monotonic clock. It also advances while the process is paused.
 struct MonoClock
 {
     using duration = Duration;
@@ -17,7 +17,8 @@
     static constexpr bool is_steady = true; // NOLINT(readability-identifier-naming): as in std.
 };
 
-/// Tag of the clock that all parties share, up to `config::clockBound`. Counts from 1970.
+/// Tag of the wall clock, counted from 1970. The clocks of any two parties differ by at most
+/// `config::clockBound`.
 struct WallClock
 {
     using duration = Duration;
--- a/include/flamingograde/coldlimit.h
+++ b/include/flamingograde/coldlimit.h
@@ -1,4 +1,4 @@
-/// Request rate limit of the upstreams of a service after their start.
+/// Request rate limit of the upstreams of a service for a time after their start.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -8,13 +8,13 @@
 
 namespace flamingograde {
 
-/// The highest request rate that a cold upstream of a service can handle; above it, it fails.
+/// The highest request rate that a cold upstream of a service can handle; it fails above this rate.
 struct ColdLimit
 {
     ServiceId service;            ///< Made from `serviceName`.
     std::string serviceName;      ///< The service whose upstreams have the limit.
     Duration coldTime { 0 };      ///< How long an upstream is cold after its start.
-    double requestsPerSecond = 0; ///< Sum over all hosts.
+    double requestsPerSecond = 0; ///< Total of all hosts.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/coldpolicy.h
+++ b/include/flamingograde/coldpolicy.h
@@ -1,14 +1,15 @@
-/// How hosts divide the request rate of a cold upstream.
+/// How hosts divide the request rate limit of a cold upstream.
 #pragma once
 
 #include <cstdint>
 
 namespace flamingograde {
 
-/// `Owner` is the default; the others are baselines for experiments.
+/// Division of the request rate limit of a cold upstream between hosts. `Owner` is the default; the
+/// others are baselines for experiments.
 enum class ColdPolicy : std::uint8_t {
-    Owner,     ///< One host of the upstream's zone, by rendezvous hashing, uses all of it.
-    Split,     ///< Each host of the upstream's zone uses an equal part.
+    Owner,     ///< One host of the upstream's zone, by rendezvous hashing, uses all of the limit.
+    Split,     ///< Each host of the upstream's zone uses an equal part of it.
     Unlimited, ///< The limit is not enforced.
 };
 
--- a/include/flamingograde/config.h
+++ b/include/flamingograde/config.h
@@ -1,7 +1,7 @@
 /// All limits of the library, with their defaults.
 ///
-/// A limit that a deployment may want to change has a setting of the same name;
-/// the value here is its default.
+/// A limit that a deployment may need to change has a setting of the same name;
+/// the value here is the default of that setting.
 #pragma once
 
 #include <chrono>
@@ -16,166 +16,167 @@
 
 // Time.
 inline constexpr auto tickPeriod            = 50ms;   ///< Period of the `Tick` event.
-inline constexpr auto pauseThreshold        = 1000ms; ///< A gap between two events above this is a pause of the process.
+inline constexpr auto pauseThreshold        = 1000ms; ///< A longer gap between two events means that the process was paused.
 inline constexpr auto clockBound            = 1000ms; ///< Largest difference between the wall clocks of any two parties.
 
 // Membership.
-inline constexpr auto probePeriod           = 200ms;  ///< One peer is probed each period.
-inline constexpr auto probeTimeout          = 300ms;  ///< Without an ack after this, others are asked to probe.
-inline constexpr auto suspicionTimeout      = 1200ms; ///< A suspect is declared dead after this; longer than `pauseThreshold`.
-inline constexpr auto refusedTimeout        = 1100ms; ///< A host that refuses connections is dead after this; longer than `pauseThreshold`.
-inline constexpr std::size_t refusalsOfDead = 3;      ///< Refused connections in a row that count as a sign of death.
-inline constexpr auto hostListPeriod        = 2000ms; ///< Period of reading the host list by a reader.
-inline constexpr std::size_t indirectProbes = 3;      ///< Peers asked to probe a silent one.
-inline constexpr std::size_t updatesPerMessage = 6;   ///< Membership updates carried by one message.
-inline constexpr std::size_t hostsPerHub    = 24;     ///< Hosts of a zone for each of its hubs: one holds 2 connections for each, 48, and sends each change 24 times.
-inline constexpr std::size_t hubsMin        = 3;      ///< Hubs of a zone at least, so that two may fail at once.
-inline constexpr std::size_t hubLinks       = 2;      ///< Hubs with which a host that is none is connected: one sends it what is new, the other takes over when that one does not answer for a second.
-inline constexpr std::size_t linksPerZone   = 2;      ///< Hosts of each other zone with which a hub is connected.
-inline constexpr std::size_t contactsPerZone = 4;     ///< Hosts of each other zone that a host remembers beside connected ones.
-inline constexpr std::size_t flatMembershipHosts = 64;///< Above this fleet size a host with HTTP rows probes only its own zone, and bridges, and one that carries packets waits for changes before it asks for them.
+inline constexpr auto probePeriod           = 200ms;  ///< One peer is probed in each period.
+inline constexpr auto probeTimeout          = 300ms;  ///< Without an ack within this time, other hosts are asked to probe the peer.
+inline constexpr auto suspicionTimeout      = 1200ms; ///< A suspected host is declared dead after this time; longer than `pauseThreshold`.
+inline constexpr auto refusedTimeout        = 1100ms; ///< A host that refuses connections is declared dead after this time; longer than `pauseThreshold`.
+inline constexpr std::size_t refusalsOfDead = 3;      ///< Consecutive refused connections that indicate that a host's process has ended.
+inline constexpr auto hostListPeriod        = 2000ms; ///< Period in which a platform reader reads the host list.
+inline constexpr std::size_t indirectProbes = 3;      ///< Peers that are asked to probe an unresponsive peer.
+inline constexpr std::size_t updatesPerMessage = 6;   ///< Membership updates in one message.
+inline constexpr std::size_t hostsPerHub    = 24;     ///< Hosts of a zone per hub: a hub holds 2 connections for each, 48, and sends each change 24 times.
+inline constexpr std::size_t hubsMin        = 3;      ///< Minimum number of hubs in a zone, so that two may fail at once.
+inline constexpr std::size_t hubLinks       = 2;      ///< Hubs to which a non-hub host is connected: one sends it changes, the other takes over when the first does not answer for a second.
+inline constexpr std::size_t linksPerZone   = 2;      ///< Hosts of each other zone to which a hub is connected.
+inline constexpr std::size_t contactsPerZone = 4;     ///< Hosts of each other zone that a host remembers in addition to connected ones.
+inline constexpr std::size_t flatMembershipHosts = 64;///< Fleet size above which a host with HTTP rows probes only its own zone and the bridges of other zones, and a host that carries packets waits for directory changes to be sent to it before it requests them.
 inline constexpr std::size_t bridgesPerZone = 2;      ///< Hosts of each other zone that are probed in a large fleet.
-inline constexpr auto viewsDiffer           = 3000ms; ///< Two hosts whose views of the fleet differ for this long tell each other all; longer than the 9 rounds of `probePeriod` in which news passes through 300 hosts.
-inline constexpr std::size_t listBytesPerSecond = 1500; ///< Of member lists that a host sends: a third of the 5 KB/s that it may spend on control.
-inline constexpr std::size_t listBytesAtOnce = 32U << 10U; ///< The same after a quiet time: five lists of 87 hosts.
+inline constexpr auto viewsDiffer           = 3000ms; ///< Two hosts whose member lists differ for this long exchange the whole lists; longer than the 9 rounds of `probePeriod` in which a change reaches 300 hosts.
+inline constexpr std::size_t listBytesPerSecond = 1500; ///< Rate limit of the member lists that a host sends: a third of the 5 KB/s that it may spend on control messages.
+inline constexpr std::size_t listBytesAtOnce = 32U << 10U; ///< Burst size of this limit after an idle period: five lists of 87 hosts.
 
 // Configuration.
-inline constexpr std::size_t readersPerZone = 2;      ///< Hosts of a zone that watch the platform.
-inline constexpr auto watchWait             = 1500ms; ///< How long the platform is asked to hold a watch; bounds how long a silent connection hides an edit.
-inline constexpr auto platformReadMargin    = 1000ms; ///< Longest answer of the platform beyond the wait asked for.
+inline constexpr std::size_t readersPerZone = 2;      ///< Hosts of a zone that read the platform.
+inline constexpr auto watchWait             = 1500ms; ///< How long the platform is asked to hold a watch request; bounds how long a silently broken connection hides an edit.
+inline constexpr auto platformReadMargin    = 1000ms; ///< Longest time for an answer of the platform in addition to the requested wait.
 inline constexpr auto platformRetryMin      = 250ms;  ///< First pause after a failed read of the platform.
 inline constexpr auto platformRetryMax      = 2000ms; ///< Longest pause after failed reads of the platform.
-inline constexpr std::size_t tableBytesMax  = 1000000;///< Largest table text; the platform holds values up to a megabyte.
-inline constexpr std::size_t syntaxFindingsMax = 100; ///< Syntax errors told of one table text.
-inline constexpr std::size_t findingsMax    = 10000;  ///< Findings told of one table text.
-inline constexpr std::size_t nameBytesMax   = 64;     ///< Longest name in the table.
+inline constexpr std::size_t tableBytesMax  = 1000000;///< Largest table text in bytes; the platform stores values of up to a megabyte.
+inline constexpr std::size_t syntaxFindingsMax = 100; ///< Syntax errors reported for one table text.
+inline constexpr std::size_t findingsMax    = 10000;  ///< Findings reported for one table text.
+inline constexpr std::size_t nameBytesMax   = 64;     ///< Longest name in the table in bytes.
 inline constexpr std::uint32_t weightMax    = 1000;   ///< Largest weight of a row.
 inline constexpr std::uint32_t urgencyMax   = 9;      ///< Largest urgency of a row.
-inline constexpr std::uint32_t concurrentMax = 1000000; ///< Largest limit of exchanges under way in a cell.
-inline constexpr std::uint32_t queueMax     = 100000; ///< Largest limit of exchanges waiting in a cell.
+inline constexpr std::uint32_t concurrentMax = 1000000; ///< Largest limit of concurrent exchanges in a cell.
+inline constexpr std::uint32_t queueMax     = 100000; ///< Largest limit of queued exchanges in a cell.
 inline constexpr std::uint32_t slotsMax     = 10000;  ///< Most slots of an upstream.
 inline constexpr std::uint32_t connectionsMax = 1000000; ///< Most connections of an upstream.
 inline constexpr auto deadlineMax           = 3600s;  ///< Longest deadline of a row.
-inline constexpr auto addressQuarantine     = 5000ms; ///< Pause before an address is used for another service.
+inline constexpr auto addressQuarantine     = 5000ms; ///< Time before an address that moved to another service is used for it.
 
 // Directory.
-inline constexpr std::size_t directoryReaderZones = 2; ///< Zones whose first host watches the directory: the cut of one leaves a reader. With one in each of six zones, a minute in which upstreams were replaced and added made 2,826 calls.
-inline constexpr auto directoryFirstReadWait = 400ms; ///< How long a starting host waits for its first read before it also asks hosts of its own zone for the directory.
-inline constexpr auto directoryMeetTime     = 1500ms; ///< A host that has just read the directory at its start leaves watches to others for this long, until it knows its hubs: 295 hosts that start together would make a call each.
-inline constexpr auto directoryWatchWait    = 1500ms; ///< How long a watch is held; with `directoryReadMargin` it bounds how long a silent platform hides a change: 2.2 s of the 3 s that users allow.
-inline constexpr auto directoryGather       = 300ms;  ///< Pause after a watch with changes while twice this has not passed since the last such, so that those of a rollout share a call.
-inline constexpr auto directorySilence      = 2200ms; ///< Leases may have lapsed unseen if nobody heard the platform for longer: they last 3.6 s, and a heartbeat of 1.2 s may have been due. A watch is answered sooner.
-inline constexpr auto directoryRecheck      = 3000ms; ///< A host that is turned away and leaves the reading to others tries again this often.
-inline constexpr auto directoryReadMargin   = 700ms;  ///< Longest answer beyond the wait asked for: 10 times a slow one of 60 ms.
-inline constexpr auto directoryRetryMin     = 100ms;  ///< First pause after a failed read.
-inline constexpr auto directoryRetryMax     = 1000ms; ///< Longest pause after failed reads: bounds the time to notice that the store is back.
-inline constexpr auto directoryStale        = 3500ms; ///< A host that hears nothing newer reads for itself: a watch, its margin and a round of gossip.
-inline constexpr auto directoryPeerTimeout  = 400ms;  ///< A host is given this long to send its changes.
-inline constexpr auto directoryAskZone      = 400ms;  ///< In a fleet above `flatMembershipHosts`, a host that hears of changes waits this long for its hub to send them before it asks another host of the zone: 1,100 rows take a host 1.3 ms of processor to decode, 26 ms at a twentieth of a core, on each step of their way.
-inline constexpr auto directoryAskFar       = 1000ms; ///< The same before it asks a host of another zone: of the 3 s that users allow for an edit, two thirds are left.
-inline constexpr auto directoryFirst        = 150ms;  ///< A starting host reads the directory before it talks to others, for this long at most: ten answers of the store.
-inline constexpr auto reappearTime          = 2200ms; ///< After an outage a missing upstream may register again within this.
-inline constexpr auto livingFor             = 2000ms; ///< A lease that lapses because its upstream died lapses two heartbeats of 1.2 s after the death or later. So an upstream that was heard within this when its removal comes has only lost its lease: a cut between it and the platform.
-inline constexpr auto tombstoneTime         = 90s;    ///< A removed upstream is remembered this long; longer than any of its flows lives.
-inline constexpr std::size_t directoryBytesMax = 64U << 20U; ///< Largest answer of the store.
+inline constexpr std::size_t directoryReaderZones = 2; ///< Zones whose first host watches the directory: when one zone is cut off, the other still has a reader. With a reader in each of six zones, a minute in which upstreams were replaced and added took 2,826 calls.
+inline constexpr auto directoryFirstReadWait = 400ms; ///< How long a starting host waits for its first directory read before it also requests the directory from hosts of its own zone.
+inline constexpr auto directoryMeetTime     = 1500ms; ///< A host that read the directory at its start leaves watches to other hosts for this long, until it knows its hubs: otherwise 295 hosts that start together would each make a call.
+inline constexpr auto directoryWatchWait    = 1500ms; ///< How long a watch request is held; with `directoryReadMargin` it bounds how long a silent platform hides a change: 2.2 s of the 3 s allowed for an edit to take effect.
+inline constexpr auto directoryGather       = 300ms;  ///< Pause after a watch that returned changes, if the previous such answer came less than twice this time ago: changes of a rollout then share a call.
+inline constexpr auto directorySilence      = 2200ms; ///< If no host has heard the platform for longer, leases may have lapsed unnoticed: a lease lasts 3.6 s, and a heartbeat, sent every 1.2 s, may have been due. A watch is answered sooner.
+inline constexpr auto directoryRecheck      = 3000ms; ///< Period in which a host whose directory reads were refused, and which leaves them to other hosts, tries again.
+inline constexpr auto directoryReadMargin   = 700ms;  ///< Longest time for an answer in addition to the requested wait: 10 times a slow answer of 60 ms.
+inline constexpr auto directoryRetryMin     = 100ms;  ///< First pause after a failed directory read.
+inline constexpr auto directoryRetryMax     = 1000ms; ///< Longest pause after failed directory reads: bounds the time to detect that the store is available again.
+inline constexpr auto directoryStale        = 3500ms; ///< A host that receives no newer directory state for this long reads the platform itself: a watch, its margin and a round of gossip.
+inline constexpr auto directoryPeerTimeout  = 400ms;  ///< Time within which another host must answer a request for directory changes.
+inline constexpr auto directoryAskZone      = 400ms;  ///< In a fleet above `flatMembershipHosts`, a host that learns of directory changes waits this long for its hub to send them before it requests them from another host of the zone: at each hop, decoding 1,100 rows takes 1.3 ms of processor time, 26 ms on a twentieth of a core.
+inline constexpr auto directoryAskFar       = 1000ms; ///< The same wait before a host of another zone is asked: leaves two thirds of the 3 s allowed for an edit to take effect.
+inline constexpr auto directoryStartupWait  = 150ms;  ///< Longest time for which a starting host reads the directory before it connects to other hosts: ten answers of the store.
+inline constexpr auto reappearTime          = 2200ms; ///< After a platform outage, a missing upstream may register again within this time.
+inline constexpr auto livingFor             = 2000ms; ///< An upstream that showed life within this time before its removal arrives has only lost its lease, because it is cut off from the platform: the lease of a dead upstream lapses two heartbeats of 1.2 s after its death or later.
+inline constexpr auto tombstoneTime         = 90s;    ///< A removed upstream is remembered this long; longer than any of its flows exists.
+inline constexpr std::size_t directoryBytesMax = 64U << 20U; ///< Largest answer of the store in bytes.
 
 // Packets.
-inline constexpr auto flowIdle              = 15000ms; ///< A flow without packets for this long may be dropped, where the rows name no other.
-inline constexpr std::size_t flowsTracked   = 16384;  ///< Flows whose load and answers are watched; 10,909 a host are open at the design size. A power of two.
-inline constexpr auto packetsHeldMax        = 500ms;  ///< A starting host leaves packets in the system's buffer this long for its directory; callers resend after 200 and 600 ms.
-inline constexpr std::size_t packetBatch    = 32;     ///< Packets read, decided and sent at once.
-inline constexpr auto handshakePatience     = 60ms;   ///< An opening packet without a second packet of its flow after this counts as unanswered: 8 round trips.
-inline constexpr auto distrustTime          = 300ms;  ///< After a start or a pause of the process, openings say nothing of upstreams for this long: callers resend after 200 ms.
-inline constexpr std::uint32_t silentOpenings = 2;    ///< Unanswered openings, copies counted, since its last sign of life that make an upstream silent. A false alarm lasts until its next sign of life: milliseconds where it has open flows.
-inline constexpr auto resendAgainTime       = 540ms;  ///< A request sent again after this was sent for the third time: callers resend 200 ms after the first and 400 ms after the second time. A living upstream acknowledges the second at once, also while it is slow, cold or full.
-inline constexpr std::uint32_t lostFlows    = 2;      ///< Flows with such a request since its last sign of life from which an upstream is lost to open flows. Two, as a link that loses a tenth of its packets loses both acknowledgements of one request in 28.
-inline constexpr auto lostFresh             = 2000ms; ///< A reset rests on requests that were lost within this: callers of an upstream that answers again lose open flows for no longer, and one that died has lost its lease of 3.6 s by then.
-inline constexpr auto answerGap             = 300ms;  ///< A host reaches others without a break while what it sends each so often is answered: a host of the larger sites sends a request or an opening each 30 ms.
-inline constexpr auto resendTime            = 180ms;  ///< A request sent again after this was not answered; callers resend after 200 ms.
-inline constexpr auto signFresh             = 1000ms; ///< An acknowledgement says that an upstream lives if the flow's last packet came here within this; callers resend after 200 and 400 ms. Longer ago, the answer may have been taken while another host had the flow.
-inline constexpr auto trialPause            = 1000ms; ///< First pause before a new flow is also sent to a silent upstream; doubles.
-inline constexpr auto trialPauseMax         = 4000ms; ///< Longest such pause.
-inline constexpr auto busyForget            = 3000ms; ///< A request without any packet for this long is taken to be over.
-inline constexpr double crowdedRequests     = 3.0;    ///< Requests a slot of the own zone from which new flows go to other zones: they would wait for two others, and upstreams shed from 5.0 on. At 1.0 bytes between zones and flows lost to a zone's cut cost more than the wait.
-inline constexpr double crowdedUploads      = 4.0;    ///< The same for uploads, whose bytes between zones cost more.
-inline constexpr double coldExcess          = 1.0;    ///< The bound on requests of all hosts to a cold upstream in any second: this many times its cold limit,
+inline constexpr auto flowIdle              = 15000ms; ///< A flow without packets for this long may be dropped, unless the rows set another time.
+inline constexpr std::size_t flowsTracked   = 16384;  ///< Flows whose load and answers are tracked; 10,909 per host are open at the design size. A power of two.
+inline constexpr auto packetHoldTimeMax     = 500ms;  ///< Longest time for which a starting host leaves packets in the socket buffer until its directory is loaded; callers resend after 200 and 600 ms.
+inline constexpr std::size_t packetBatch    = 32;     ///< Packets read, decided on and sent in one batch.
+inline constexpr auto handshakePatience     = 60ms;   ///< An opening packet without a second packet of its flow within this time counts as unanswered: 8 round trips.
+inline constexpr auto distrustTime          = 300ms;  ///< After a start or a pause of the process, unanswered openings are no evidence against upstreams for this long: callers resend after 200 ms.
+inline constexpr std::uint32_t silentOpenings = 2;    ///< Unanswered openings, including copies, since the last sign of life of an upstream after which it counts as silent. A false positive lasts until its next sign of life: milliseconds where it has open flows.
+inline constexpr auto resendAgainTime       = 540ms;  ///< A request that is resent after this time is sent for the third time: callers resend 200 ms after the first and 400 ms after the second transmission. A live upstream acknowledges the second one at once, even while it is slow, cold or full.
+inline constexpr std::uint32_t lostFlows    = 2;      ///< Flows with such a request since the last sign of life of an upstream after which open flows no longer wait for it. Two, because a link that loses a tenth of its packets loses both acknowledgements of one request in 28.
+inline constexpr auto lostFresh             = 2000ms; ///< Flows are reset only if the lost requests are more recent than this: callers of an upstream that answers again lose open flows for no longer, and the lease of 3.6 s of a dead upstream has lapsed by then.
+inline constexpr auto answerGap             = 300ms;  ///< A host's connection to upstreams counts as uninterrupted while the intervals between its answered packets are shorter than this: a host of a large site sends a request or an opening every 30 ms.
+inline constexpr auto resendTime            = 180ms;  ///< A request that is resent after this time was not answered; callers resend after 200 ms.
+inline constexpr auto signFresh             = 1000ms; ///< An acknowledgement proves that an upstream is alive only if the flow's previous packet came to this host within this time; callers resend after 200 and 400 ms. After a longer gap, the answer may have been received while another host had the flow.
+inline constexpr auto trialPause            = 1000ms; ///< First pause before a new flow is also sent to a silent upstream as a trial; doubles with each trial.
+inline constexpr auto trialPauseMax         = 4000ms; ///< Longest pause between such trials.
+inline constexpr auto busyForget            = 3000ms; ///< A request whose flow had no packet for this long counts as finished.
+inline constexpr double crowdedRequests     = 3.0;    ///< Requests per slot of the own zone from which new flows are sent to other zones: they would wait for two others, and upstreams shed requests from 5.0 on. At 1.0, traffic between zones and flows lost when a zone is cut off cost more than the wait.
+inline constexpr double crowdedUploads      = 4.0;    ///< The same for uploads, whose traffic between zones costs more.
+inline constexpr double coldExcess          = 1.0;    ///< Limit of the requests of all hosts to a cold upstream in any second: this multiple of its cold limit,
 inline constexpr double coldSlack           = 0.0;    ///< plus this many requests.
-inline constexpr std::size_t placementScan  = 8;      ///< Up to this many upstreams are all compared for a new flow.
-inline constexpr std::size_t placementDraws = 4;      ///< Of more, this many are drawn and compared.
+inline constexpr std::size_t placementScan  = 8;      ///< Largest number of upstreams of which all are compared for a new flow.
+inline constexpr std::size_t placementDraws = 4;      ///< Upstreams drawn at random and compared where there are more.
 
 // Exchanges.
-inline constexpr auto defaultDeadline       = 5000ms; ///< Deadline of a row that names none.
-inline constexpr double placedLagMax        = 50.0;   ///< Placements a slot that a cell which was away catches up on.
-inline constexpr double crowdedShare        = 2.0;    ///< Work for each slot from which a cell's load outweighs its share.
-inline constexpr std::size_t relayAttempts  = 3;      ///< Placements of one exchange, each provably not run before the next.
-inline constexpr auto placeRetryMin         = 250ms;  ///< First pause before an exchange is placed again; doubles.
-inline constexpr auto relayMargin           = 60ms;   ///< A home's deadline is earlier by this, so that its truer refusal comes in time.
-inline constexpr auto retryAfterMin         = 1000ms; ///< Shortest pause told to a caller.
-inline constexpr auto retryAfterMax         = 30s;    ///< Longest pause told to a caller.
-inline constexpr double retryBudgetShare    = 0.1;    ///< Retries allowed as a share of successes.
+inline constexpr auto defaultDeadline       = 5000ms; ///< Deadline of a row that sets none.
+inline constexpr double placedLagMax        = 50.0;   ///< Placements per slot by which a cell that was unavailable may lag behind the others and still catch up.
+inline constexpr double crowdedShare        = 2.0;    ///< Work per slot above which a cell is chosen by its load rather than by its share of placements.
+inline constexpr std::size_t relayAttempts  = 3;      ///< Placements attempted for one exchange; the next is made only when the previous one provably did not run.
+inline constexpr auto placeRetryMin         = 250ms;  ///< First pause before an exchange is placed again; doubles with each attempt.
+inline constexpr auto relayMargin           = 60ms;   ///< The deadline at a home host is earlier by this, so that its more specific refusal arrives in time.
+inline constexpr auto retryAfterMin         = 1000ms; ///< Shortest retry delay sent to a caller.
+inline constexpr auto retryAfterMax         = 30s;    ///< Longest retry delay sent to a caller.
+inline constexpr double retryBudgetShare    = 0.1;    ///< Retries allowed as a share of successful requests.
 inline constexpr double retryBudgetBurst    = 10.0;   ///< Retries allowed without any success.
 
 // Feeds.
-inline constexpr auto feedRetryMin          = 100ms;  ///< First pause before a feed is opened again; doubles.
-inline constexpr auto feedRetryMax          = 2000ms; ///< Longest pause before a feed is opened again.
+inline constexpr auto feedRetryMin          = 100ms;  ///< First pause before a feed is reopened; doubles with each attempt.
+inline constexpr auto feedRetryMax          = 2000ms; ///< Longest pause before a feed is reopened.
 inline constexpr std::size_t feedOpenAttempts = 4;    ///< Failed openings after which a new feed is refused.
 inline constexpr std::size_t feedReopenAttempts = 12; ///< Failed openings after which an open feed is ended.
 
 // Keys of non-idempotent requests.
 inline constexpr auto keyLifetime           = 600s;   ///< How long a key is remembered.
-inline constexpr auto placementDelay        = 10s;    ///< Keys are placed by a table from this time after its publication; longer than until all hosts have it and know so.
-inline constexpr std::size_t placementTablesMax = 32; ///< Tables whose placement of keys is remembered.
-inline constexpr std::size_t placementCellsMax = 32768; ///< Cells of all these tables.
+inline constexpr auto placementDelay        = 10s;    ///< A table places the keys that are made from this long after its publication; longer than it takes until all hosts have the table and know that all others have it.
+inline constexpr std::size_t placementTablesMax = 32; ///< Tables whose key placements are remembered.
+inline constexpr std::size_t placementCellsMax = 32768; ///< Cells in the remembered placements of all tables.
 inline constexpr std::size_t keysMax        = 200000; ///< Keys remembered by a host.
-inline constexpr std::size_t keyBytesMax    = 128;    ///< Longest key.
-inline constexpr std::size_t storedAnswerMax = 65536; ///< Largest answer kept for a repeat of its request.
-inline constexpr std::size_t storedAnswersBytesMax = 16U << 20U; ///< All kept answers of a host.
-inline constexpr std::size_t keysParkedMax  = 1000;   ///< Requests with a key that wait for this host to become their home.
-inline constexpr auto handoverWindow        = 5000ms; ///< A home that gives up a cell tells the new one the keys dispatched this lately.
-inline constexpr auto handoverTimeout       = 1000ms; ///< Requests under way are waited for this long before a cell is granted.
-inline constexpr std::size_t handoverKeysMax = 10000; ///< Keys told in one grant; more shorten the window.
-inline constexpr auto keyLookupTimeout      = 500ms;  ///< Longest wait for a former home's word on a key.
+inline constexpr std::size_t keyBytesMax    = 128;    ///< Longest key in bytes.
+inline constexpr std::size_t storedAnswerMax = 65536; ///< Largest answer in bytes that is stored for a repeated request.
+inline constexpr std::size_t storedAnswersBytesMax = 16U << 20U; ///< Size of all stored answers of a host.
+inline constexpr std::size_t keysParkedMax  = 1000;   ///< Requests with a key that wait until this host is their home.
+inline constexpr auto handoverWindow        = 5000ms; ///< A home host that gives up a cell sends the new one the keys dispatched within this time.
+inline constexpr auto handoverTimeout       = 1000ms; ///< Longest wait for running requests before a cell is granted to another host.
+inline constexpr std::size_t handoverKeysMax = 10000; ///< Keys sent in one grant; the window is shortened if there are more.
+inline constexpr auto keyLookupTimeout      = 500ms;  ///< Longest wait for a former home's answer about a key.
 
 // Upstreams.
-inline constexpr auto upstreamProbePeriod   = 1000ms; ///< Period of the home's health probe of an upstream.
-inline constexpr auto rampTime              = 10s;    ///< A cold upstream reaches its full share after this.
-inline constexpr std::size_t ejectFailures  = 5;      ///< Failures in a row that eject an upstream.
-inline constexpr auto ejectTime             = 5000ms; ///< First time out of rotation.
-inline constexpr double ejectShareMax       = 0.5;    ///< Largest share of a cell's upstreams ejected at once.
-
-inline constexpr double shedRecovery        = 0.1;    ///< Slots that an upstream that shed gains back while each of its slots serves one request.
-inline constexpr auto cancelGrace           = 20ms;   ///< A slot stays taken this long after its request was cancelled or lost.
-inline constexpr auto ejectTimeMax          = 60s;    ///< Longest time out of rotation.
-inline constexpr auto serviceTimeFresh      = 5000ms; ///< A measured service time refuses nothing after this without a new measure.
-inline constexpr auto serviceTimeGuess      = 50ms;   ///< Service time of a row that was never measured, for the fair order.
-inline constexpr double serviceTimeGain     = 0.1;    ///< Weight of a new measure in the mean.
-inline constexpr double serviceTimeDeviations = 2.0;  ///< Deviations above the mean that an answer is given when its deadline is weighed.
-inline constexpr auto deadlineMargin        = 5ms;    ///< An answer expected later than this before its deadline is taken to be too late.
-inline constexpr auto loadFresh             = 2000ms; ///< A load told by another host is used for this long.
-inline constexpr std::size_t cellQueueMax   = 20000;  ///< Requests waiting in a cell, over all rows.
+inline constexpr auto upstreamProbePeriod   = 1000ms; ///< Period in which a home host probes an upstream's health.
+inline constexpr auto rampTime              = 10s;    ///< Time after which a cold upstream has its full share.
+inline constexpr std::size_t ejectFailures  = 5;      ///< Consecutive failures after which an upstream is ejected.
+inline constexpr auto ejectTime             = 5000ms; ///< Duration of the first ejection of an upstream.
+inline constexpr double ejectShareMax       = 0.5;    ///< Largest share of a cell's upstreams that is ejected at once.
+
+inline constexpr double shedRecovery        = 0.1;    ///< Slots that an upstream which shed a request regains while each of its slots serves one request.
+inline constexpr auto cancelGrace           = 20ms;   ///< A slot stays occupied for this long after its request was cancelled or lost.
+inline constexpr auto ejectTimeMax          = 60s;    ///< Longest duration of an ejection.
+inline constexpr auto serviceTimeFresh      = 5000ms; ///< A measured service time without a new measurement for this long causes no refusals.
+inline constexpr auto serviceTimeGuess      = 50ms;   ///< Service time assumed for fair scheduling of a row that has no measurement.
+inline constexpr double serviceTimeGain     = 0.1;    ///< Weight of a new measurement in the moving average.
+inline constexpr double serviceTimeDeviations = 2.0;  ///< Deviations above the mean that are allowed for an answer when its deadline is checked.
+inline constexpr auto deadlineMargin        = 5ms;    ///< An answer expected less than this time before its deadline counts as too late.
+inline constexpr auto loadFresh             = 2000ms; ///< A load reported by another host is used for this long.
+inline constexpr std::size_t cellQueueMax   = 20000;  ///< Requests queued in a cell, over all rows.
 
 // Connections.
-inline constexpr auto silenceTimeout        = 3000ms; ///< A peer connection with no bytes for this long is replaced.
-inline constexpr auto feedSilenceTimeout    = 15000ms;///< A feed with no bytes from its upstream for this long is reopened.
-inline constexpr auto callerKeepAlive       = 5000ms; ///< Period of comments on a feed with no events.
-inline constexpr auto connectTimeout        = 1000ms; ///< Longest wait for a connection.
-inline constexpr std::size_t feedsMax       = 400000; ///< Feeds held by a host.
-inline constexpr std::size_t exchangesMax   = 100000; ///< Requests under way in a host.
+inline constexpr auto silenceTimeout        = 3000ms; ///< A peer connection that receives no bytes for this long is replaced.
+inline constexpr auto feedSilenceTimeout    = 15000ms;///< A feed that receives no bytes from its upstream for this long is reopened.
+inline constexpr auto callerKeepAlive       = 5000ms; ///< Period of the comments sent on a feed without events.
+inline constexpr auto connectTimeout        = 1000ms; ///< Longest wait until a connection is established.
+inline constexpr std::size_t feedsMax       = 400000; ///< Feeds that a host holds open.
+inline constexpr std::size_t exchangesMax   = 100000; ///< Concurrent requests in a host.
 inline constexpr std::size_t bodyBytesMax   = 64U << 20U; ///< Largest request body of any row.
 inline constexpr std::size_t peerMessageMax = 2U << 20U;  ///< Largest message between hosts.
 
 // Stopping.
-inline constexpr auto stopTimeout           = 60s;    ///< Longest wait of an orderly stop.
-inline constexpr auto feedMoveTime          = 2000ms; ///< Feeds are ended over this time after the listeners closed.
-inline constexpr auto closeGrace            = 500ms;  ///< A stop takes what was on its way when the listeners closed for this long.
-inline constexpr auto stopReportPeriod      = 1000ms; ///< Period of the log's word on what a stop waits for.
-inline constexpr auto fabricNotice          = 1600ms; ///< A fabric that checks twice a second has missed two checks of a stopping host by then.
-inline constexpr auto fabricQuiet           = 400ms;  ///< Without a packet for this long the fabric sends none any more: two of a caller's first resends.
+inline constexpr auto stopTimeout           = 60s;    ///< Longest duration of an orderly stop.
+inline constexpr auto feedMoveTime          = 2000ms; ///< Period over which feeds are ended after the listeners were closed.
+inline constexpr auto closeGrace            = 500ms;  ///< A stopping host keeps serving for this long after it closed the listeners, for requests that were already on their way.
+inline constexpr auto stopReportPeriod      = 1000ms; ///< Period of the log lines that say what a stop waits for.
+inline constexpr auto fabricNotice          = 1600ms; ///< By this time after the start of a stop, a network fabric that checks hosts twice a second has missed two checks of the host.
+inline constexpr auto fabricQuiet           = 400ms;  ///< Without a packet for this long, the network fabric no longer sends packets to a stopping host: two of the intervals after which callers first resend.
 inline constexpr auto leaveNotice           = 1000ms; ///< Time between announcing a stop and closing the listeners.
 
 // clang-format on
 
-static_assert(handoverWindow > 2 * clockBound + handoverTimeout,
-              "a key made during a handover must be newer than what the new home is not told");
+static_assert(
+        handoverWindow > 2 * clockBound + handoverTimeout,
+        "a key made during a handover must be newer than what is not sent to the new home host");
 
 } // namespace flamingograde::config
--- a/include/flamingograde/cookie.h
+++ b/include/flamingograde/cookie.h
@@ -1,4 +1,4 @@
-/// What a caller's packets carry so that any host knows the upstream of their flow.
+/// Cookie in a caller's packets by which any host finds the upstream of their flow.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -9,16 +9,16 @@
 
 namespace flamingograde {
 
-/// The mark of an upstream's instance on the packets of its flows. The default value is "none".
+/// Identifies an upstream's instance in the packets of its flows. The default value is "none".
 ///
-/// Packets carry it bound to the address that the caller talks to. Unbound with another address it
-/// is a number like any other, which names one of 110,000 upstreams by chance in 1 of 39,000 cases:
-/// so a cookie that names an upstream shows that its flow was opened at this address. It is no
-/// secret: a caller who knows instance numbers can make one, for packets of its own that the
-/// upstream resets, as it holds no such flow.
+/// Packets carry it bound to the service address that the caller uses. Unbound with another address
+/// it gives a random number, which identifies one of 110,000 upstreams by chance in 1 of 39,000
+/// cases: a cookie that identifies an upstream therefore shows that its flow was opened at this
+/// address. It is not secret: a caller that knows instance numbers can forge one, but only for its
+/// own packets, and the upstream resets them as it has no such flow.
 ///
 /// Two instances may have the same cookie (one pair is expected among 110,000 random numbers): the
-/// directory then gives it to the one that registered first.
+/// directory then assigns it to the instance that registered first.
 /// @remarks Thread safe for readers.
 struct Cookie
 {
@@ -34,8 +34,8 @@
         return { folded == 0 ? 1U : folded };
     }
 
-    /// Returns the cookie that packets to `service` carry; of such a one, the cookie itself.
-    /// Precondition: none.
+    /// Returns the cookie as packets to `service` carry it; applied to that one, the original
+    /// cookie. Precondition: none.
     [[nodiscard]] constexpr auto bound(Address service) const -> Cookie
     {
         constexpr auto portBits = 16U;
@@ -47,7 +47,7 @@
         return { this->value ^ static_cast<std::uint32_t>(mixed >> shift) };
     }
 
-    /// Returns whether this names an upstream. Precondition: none.
+    /// Returns whether this identifies an upstream, that is, is not "none". Precondition: none.
     [[nodiscard]] constexpr auto isValid() const -> bool { return this->value != 0; }
 
     friend constexpr auto operator==(Cookie a, Cookie b) -> bool { return a.value == b.value; }
--- a/include/flamingograde/directoryupdate.h
+++ b/include/flamingograde/directoryupdate.h
@@ -1,4 +1,4 @@
-/// Changes of the directory: what the platform publishes and hosts tell each other.
+/// Changes of the directory, as the platform publishes them and hosts send them to each other.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -13,46 +13,47 @@
 
 namespace flamingograde {
 
-/// An upstream as the directory has it.
+/// An upstream as listed in the directory.
 struct DirectoryRecord
 {
     Upstream upstream; ///< Precondition: its instance is valid.
-    Revision changed;  ///< Of its last change: a later one takes its place.
-    Revision created;  ///< Of its registration: of two upstreams the earlier one is the older.
+    Revision changed;  ///< Revision of its last change: a later record replaces this one.
+    Revision created;  ///< Revision of its registration: lower for the older of two.
 };
 
-/// An upstream that the directory no longer has.
+/// An upstream that was removed from the directory.
 struct DirectoryRemoval
 {
     InstanceId instance;
     Revision at;
 };
 
-/// An upstream whose entry cannot be used any more: another writer left something there that is no
-/// upstream, or one that it cannot be.
+/// An upstream whose entry is no longer usable: another writer replaced it by something that is not
+/// an upstream, or by an upstream that cannot be under this entry.
 struct DirectoryFault
 {
     InstanceId instance;
     Revision at;
 };
 
-/// Every change of the directory above one revision, or all that it holds.
+/// All changes of the directory after a revision, or its whole content.
 ///
-/// Taking one twice, or two in another order, gives the same state.
+/// Updates are idempotent and commutative: applying one twice, or two in another order, gives the
+/// same state.
 struct DirectoryUpdate
 {
-    Revision after; ///< Changes up to this are left out; invalid: nothing is, and what is not in
-                    ///< `present` was removed.
-    Revision upTo;  ///< Changes above this may be left out.
+    Revision after; ///< Changes up to this are omitted; invalid: none is, and upstreams that are
+                    ///< not in `present` were removed.
+    Revision upTo;  ///< Changes above this may be missing.
     std::vector<DirectoryRecord> present;
     std::vector<DirectoryRemoval> removed;
-    std::vector<DirectoryFault> faulty; ///< Get no new flows; `present` may have their last good
-                                        ///< record, an older one.
+    std::vector<DirectoryFault> faulty;      ///< Get no new flows; `present` may contain their last
+                                             ///< usable record, which is older.
     std::vector<ZoneEvacuation> evacuations; ///< A whole update omits ended ones.
-    Duration settlesIn { 0 }; ///< Removals are not believed before: they may register again.
+    Duration settlesIn { 0 }; ///< Delay of removals, as the upstreams may register again.
     std::shared_ptr<const PacketRows> rows; ///< Null: unchanged.
 
-    /// Returns whether this holds the whole directory. Precondition: none.
+    /// Returns whether this contains the whole directory. Precondition: none.
     [[nodiscard]] auto isWhole() const -> bool { return !this->after.isValid(); }
 };
 
--- a/include/flamingograde/event.h
+++ b/include/flamingograde/event.h
@@ -1,4 +1,4 @@
-/// What happens to a host: the inputs of the library.
+/// Events: the inputs of the library.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -19,18 +19,18 @@
 
 namespace flamingograde {
 
-/// A caller's request, feed or upload came in whole.
+/// A caller's request, feed or upload was received completely.
 struct CallerArrived
 {
     ExchangeId exchange;    ///< Chosen by the transport; unique in this process.
-    Address address;        ///< The service's address it came to.
+    Address address;        ///< The service address at which it arrived.
     std::string token;      ///< The flow token; empty for none.
     std::string key;        ///< The idempotency key; empty for none.
-    Duration timeout { 0 }; ///< The caller's own deadline; 0: the row's.
+    Duration timeout { 0 }; ///< Timeout set by the caller; 0: the row's deadline applies.
     std::uint64_t bodyBytes = 0;
 };
 
-/// Another host relayed a request to this one as the home of its cell.
+/// Another host relayed a request to this host, as it regards this host as the home of the cell.
 struct RelayArrived
 {
     ExchangeId exchange;
@@ -43,50 +43,50 @@
     std::uint64_t bodyBytes = 0;
 };
 
-/// The caller, or the relaying host, went away.
+/// The caller or the relaying host closed its connection.
 struct CallerLeft
 {
     ExchangeId exchange;
 };
 
-/// How far a dispatch, relay or feed came.
+/// Progress of a dispatch, relay or feed.
 enum class Progress : std::uint8_t {
-    NotSent,   ///< No byte of it left this host.
-    Lost,      ///< Lost after it may have been sent and before an answer began.
-    Answering, ///< The answer's head came; `head` is set.
-    Answered,  ///< The whole answer came and was passed on.
+    NotSent,   ///< No byte of the request left this host.
+    Lost,      ///< Lost after the request may have been sent and before an answer began.
+    Answering, ///< The answer's head was received; `head` is set.
+    Answered,  ///< The whole answer was received and forwarded.
     Cut,       ///< The answer broke off.
 };
 
-/// The head of an answer from an upstream or a home.
+/// The head of an answer from an upstream or a home host.
 struct AnswerHead
 {
     int status = 0;
-    bool refusal = false;                         ///< A home's refusal, not an upstream's answer.
-    RefusalReason reason = RefusalReason::NoHome; ///< Of a refusal.
-    Verdict verdict = Verdict::Run;               ///< Of a refusal.
-    bool shed = false; ///< An upstream's "not run, come back later" (503 with Retry-After).
+    bool refusal = false; ///< A home host's refusal, not an upstream's answer.
+    RefusalReason reason = RefusalReason::NoHome; ///< Only for a refusal.
+    Verdict verdict = Verdict::Run;               ///< Only for a refusal.
+    bool shed = false; ///< The upstream did not run it and asks for a retry (503 with Retry-After).
     Duration retryAfter { 0 };
 };
 
-/// The transport reports on an exchange that it sent somewhere.
+/// The transport's report on an exchange that it sent to an upstream or a home host.
 struct ExchangeProgress
 {
     ExchangeId exchange;
-    std::uint32_t attempt = 0; ///< The attempt of the action it belongs to; others are ignored.
+    std::uint32_t attempt = 0; ///< Attempt of the action it reports on; outdated ones are ignored.
     Progress progress = Progress::NotSent;
     std::optional<AnswerHead> head;           ///< Set with `Answering`.
-    std::shared_ptr<const std::string> whole; ///< With `Answered`: the answer, if kept on request.
+    std::shared_ptr<const std::string> whole; ///< With `Answered`: the answer, if requested.
 };
 
-/// The result of a health probe. A hint: traffic goes first.
+/// The result of a health probe. Only a hint: results of requests take precedence.
 struct UpstreamReport
 {
     UpstreamId upstream;
     bool reachable = false;
-    bool healthy = false;  ///< What its health endpoint says.
-    bool draining = false; ///< What its health endpoint says.
-    double load = 0;       ///< What its load endpoint says, 0 to 1; negative: nothing.
+    bool healthy = false;  ///< As its health endpoint reports.
+    bool draining = false; ///< As its health endpoint reports.
+    double load = 0;       ///< As its load endpoint reports, 0 to 1; negative: not reported.
 };
 
 /// A message from another host.
@@ -96,53 +96,53 @@
     Message message;
 };
 
-/// A connection with a host is up (after both `Hello`s).
+/// A connection to a host is established: both `Hello`s were exchanged.
 struct PeerUp
 {
     Member member;
 };
 
-/// Why there is no connection with a host.
+/// Why there is no connection to a host.
 enum class PeerLoss : std::uint8_t {
-    Refused, ///< Its machine answered that no process listens: the process is gone.
-    Closed,  ///< It closed the connection.
-    Silent,  ///< Nothing came, or no connection came about, for too long.
+    Refused, ///< Its machine refused the connection: its process has ended.
+    Closed,  ///< The host closed the connection.
+    Silent,  ///< Nothing was received, or no connection was established, in time.
 };
 
-/// A connection with a host was lost or did not come about.
+/// A connection to a host was lost or could not be established.
 struct PeerDown
 {
     HostId host;
     PeerLoss loss = PeerLoss::Closed;
 };
 
-/// The platform gave a table. The revision may be any, also an older one.
+/// The platform returned a table. Its revision may be any, even older than the one in force.
 struct TableFetched
 {
     Revision revision;
     std::string text;
-    std::optional<WallTime> published; ///< When it was published, if the platform tells.
+    std::optional<WallTime> published; ///< When it was published, if the platform reports it.
 };
 
-/// The platform said that there is nothing newer.
+/// The platform has no newer table.
 struct TableUnchanged
 {
-    Revision revision; ///< What the platform holds.
+    Revision revision; ///< Revision of the table that the platform has.
 };
 
-/// The platform gave its host list. It may lag.
+/// The platform returned its host list, which may be out of date.
 struct HostsFetched
 {
     std::vector<Member> hosts;
 };
 
-/// Which read of the platform.
+/// Kind of a read of the platform.
 enum class PlatformRead : std::uint8_t {
     Table,
     Hosts,
 };
 
-/// A read of the platform failed, or its answer was not what it should be.
+/// A read of the platform failed, or its answer was invalid.
 struct PlatformFailed
 {
     PlatformRead read = PlatformRead::Table;
@@ -153,15 +153,15 @@
 struct DirectoryRead
 {
     DirectoryUpdate update;
-    bool late = false; ///< The answer may have been out of date when it was given.
+    bool late = false; ///< The answer may have been out of date when it was sent.
 };
 
 /// Why a read of the directory failed.
 enum class DirectoryFailure : std::uint8_t {
-    Refused,     ///< Turned away: too many calls, or busy.
-    Unreachable, ///< No connection, or no answer in time.
-    Forgotten,   ///< The changes asked for are no longer kept.
-    Malformed,   ///< The answer cannot be read.
+    Refused,     ///< The platform refused the call: too many calls, or it is busy.
+    Unreachable, ///< No connection, or no answer within the time limit.
+    Forgotten,   ///< The platform no longer has the requested changes.
+    Malformed,   ///< The answer could not be decoded.
 };
 
 /// A read of the directory failed.
@@ -171,24 +171,24 @@
     std::string why;
 };
 
-/// Some of what the directory published cannot be read. The rest of the answer is good.
+/// Some items of a directory answer could not be decoded. The rest of the answer is usable.
 struct DirectoryItemsFaulty
 {
-    std::size_t count = 0; ///< Items.
-    std::string what;      ///< The items and what is wrong with them.
+    std::size_t count = 0; ///< Number of such items.
+    std::string what;      ///< The items and their faults.
 };
 
-/// The settings name other seeds now.
+/// The settings file was read again and has other seeds.
 struct SeedsRead
 {
     std::vector<Address> addresses; ///< Peer addresses of hosts whose names are not known.
 };
 
-/// Time passed. Comes every `config::tickPeriod`.
+/// Timer event, sent every `config::tickPeriod`.
 struct Tick
 {};
 
-/// An operator asked for an orderly stop (SIGTERM or `drain`).
+/// An operator requested an orderly stop (SIGTERM or `drain`).
 struct StopRequested
 {};
 
--- a/include/flamingograde/finding.h
+++ b/include/flamingograde/finding.h
@@ -1,4 +1,4 @@
-/// One fault found in a text written by an operator.
+/// A fault found in a text that an operator wrote.
 #pragma once
 
 #include <cstdint>
@@ -7,19 +7,19 @@
 
 namespace flamingograde {
 
-/// A fault with its place and how to mend it.
+/// A fault with its position and a proposed correction.
 struct Finding
 {
     std::string file;         ///< The file, or "table" for a table read from the platform.
-    std::uint32_t line = 0;   ///< Counted from 1; 0 where the fault has no place.
-    std::uint32_t column = 0; ///< Counted from 1; 0 where the fault has no place.
-    std::string what;         ///< What is wrong.
-    std::string mend;         ///< How to mend it.
+    std::uint32_t line = 0;   ///< Counted from 1; 0 if the fault has no position.
+    std::uint32_t column = 0; ///< Counted from 1; 0 if the fault has no position.
+    std::string what;         ///< Description of the fault.
+    std::string mend;         ///< How to correct it.
 
     /// Returns "FILE:LINE:COLUMN: WHAT (MEND)".
     [[nodiscard]] auto toString() const -> std::string;
 };
 
-using Findings = std::vector<Finding>; ///< All faults of one text, in the order of their place.
+using Findings = std::vector<Finding>; ///< All faults of one text, ordered by position.
 
 } // namespace flamingograde
--- a/include/flamingograde/ids.h
+++ b/include/flamingograde/ids.h
@@ -1,20 +1,19 @@
-/// The ids used throughout the library.
+/// Id types of the library.
 #pragma once
 
 #include <flamingograde/strongid.h>
 
 namespace flamingograde {
 
-using HostId = StrongId<struct HostTag>;         ///< An entry host, by its name.
-using ZoneId = StrongId<struct ZoneTag>;         ///< An availability zone, by its name.
-using ServiceId = StrongId<struct ServiceTag>;   ///< A service, by its name.
-using RowId = StrongId<struct RowTag>;           ///< A row of the table, by its name.
-using UpstreamId = StrongId<struct UpstreamTag>; ///< An upstream, by its name.
-using CellId = StrongId<struct CellTag>;         ///< A service's upstreams in one zone.
+using HostId = StrongId<struct HostTag>;         ///< An entry host; made from its name.
+using ZoneId = StrongId<struct ZoneTag>;         ///< An availability zone; made from its name.
+using ServiceId = StrongId<struct ServiceTag>;   ///< A service; made from its name.
+using RowId = StrongId<struct RowTag>;           ///< A row of the table; made from its name.
+using UpstreamId = StrongId<struct UpstreamTag>; ///< An upstream; made from its name.
+using CellId = StrongId<struct CellTag>;         ///< A cell: a service's upstreams in one zone.
 using FlowId = StrongId<struct FlowTag>;         ///< A flow: the packets that share a token.
-using ExchangeId = StrongId<struct ExchangeTag>; ///< One request and its answer in one host.
-using InstanceId =
-        StrongId<struct InstanceTag>; ///< One life of an upstream's process, by its number.
+using ExchangeId = StrongId<struct ExchangeTag>; ///< A request and its answer within one host.
+using InstanceId = StrongId<struct InstanceTag>; ///< An instance of an upstream, by its number.
 
 /// Returns the id of the cell of `service` in `zone`.
 /// @remarks Thread safe.
--- a/include/flamingograde/init.h
+++ b/include/flamingograde/init.h
@@ -1,4 +1,4 @@
-/// What a host is told at its start.
+/// Settings with which a host starts.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -15,25 +15,25 @@
 
 namespace flamingograde {
 
-/// The settings of the deciding library. The defaults are those of `config.h`.
+/// The settings of the library. Defaults are defined in `config.h`.
 struct Init
 {
-    Member self;                        ///< This host: name, zone, addresses and link.
-    std::vector<Member> seeds;          ///< Peers to ask first; may be incomplete or out of date.
-    std::vector<Address> seedAddresses; ///< Peer addresses of hosts whose names are not known.
-    bool readsDirectory = false;        ///< The platform publishes a directory in place of a table.
+    Member self;               ///< This host: name, zone, addresses and link.
+    std::vector<Member> seeds; ///< Peers to contact first; may be incomplete or out of date.
+    std::vector<Address> seedAddresses; ///< Peer addresses of hosts with unknown names.
+    bool readsDirectory = false;        ///< The platform publishes a directory instead of a table.
     PacketPolicy packetPolicy = PacketPolicy::LeastBusy; ///< How new flows are placed.
-    ColdPolicy coldPolicy = ColdPolicy::Owner; ///< How hosts divide the rate of cold upstreams.
-    double coldExcess = config::coldExcess;    ///< Requests of all hosts to a cold upstream in any
-                                               ///< second: at most this many times its limit,
-    double coldSlack = config::coldSlack;      ///< plus this many.
-    std::size_t flowsTracked = 0;     ///< Packet flows that are watched; 0: no packets are carried.
-    std::uint64_t seed = 1;           ///< Of every random choice.
+    ColdPolicy coldPolicy = ColdPolicy::Owner;           ///< How hosts divide cold limits.
+    double coldExcess = config::coldExcess; ///< Limit of all requests to a cold upstream in any
+                                            ///< second: this multiple of its cold limit,
+    double coldSlack = config::coldSlack;   ///< plus this many requests.
+    std::size_t flowsTracked = 0;     ///< Packet flows that are tracked; 0: no packets are carried.
+    std::uint64_t seed = 1;           ///< Seed of all random choices.
     Policy policy = Policy::CellHome; ///< How requests are placed on upstreams.
-    Duration stopTimeout = config::stopTimeout;      ///< Longest wait of an orderly stop.
+    Duration stopTimeout = config::stopTimeout;      ///< Longest duration of an orderly stop.
     Duration clockBound = config::clockBound;        ///< Largest difference between wall clocks.
-    std::size_t exchangesMax = config::exchangesMax; ///< Requests under way at once.
-    std::size_t feedsMax = config::feedsMax;         ///< Feeds held at once.
+    std::size_t exchangesMax = config::exchangesMax; ///< Requests in progress at once.
+    std::size_t feedsMax = config::feedsMax;         ///< Feeds held open at once.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/latencyhistogram.h
+++ b/include/flamingograde/latencyhistogram.h
@@ -1,4 +1,4 @@
-/// How long something took, counted by bounds.
+/// Histogram of latencies.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -9,18 +9,18 @@
 
 namespace flamingograde {
 
-/// A histogram with fixed bounds.
+/// A latency histogram with fixed bucket bounds.
 /// @remarks Not thread safe.
 struct LatencyHistogram
 {
-    /// Upper bounds of the buckets in milliseconds; a last bucket has none.
+    /// Upper bounds of the buckets in milliseconds, inclusive; the last bucket has no bound.
     static constexpr std::array<std::uint32_t, 11> bounds { 1,   2,   5,   10,   20,  50,
                                                             100, 200, 500, 1000, 2000 };
 
     std::array<std::uint64_t, bounds.size() + 1> counts {};
     std::uint64_t sumMs = 0;
 
-    /// Counts one measure. Precondition: none.
+    /// Adds one measurement. Precondition: none.
     auto add(std::uint32_t milliseconds) -> void
     {
         std::size_t bucket = 0;
--- a/include/flamingograde/member.h
+++ b/include/flamingograde/member.h
@@ -1,4 +1,4 @@
-/// What one host knows of another.
+/// Membership entry of a host.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -9,26 +9,26 @@
 
 namespace flamingograde {
 
-/// The state of a member, in the order in which one overrides another at the same incarnation.
+/// The state of a member. At the same incarnation, a later state overrides an earlier one.
 enum class MemberState : std::uint8_t {
-    Alive,   ///< Answers, or was announced.
-    Leaving, ///< Stops in order: gets no new work, finishes what it has.
-    Suspect, ///< Did not answer; not yet given up.
-    Dead,    ///< Given up, refused a connection, or said goodbye.
+    Alive,   ///< The host answers, or was announced.
+    Leaving, ///< The host is in an orderly stop: it gets no new work and finishes the rest.
+    Suspect, ///< The host did not answer and may be dead.
+    Dead,    ///< The host was silent for too long, refused connections, or announced its end.
 };
 
-/// A host of the system as the membership protocol carries it.
+/// A host of the fleet, as the membership protocol carries it.
 struct Member
 {
     HostId id;                     ///< Made from `name`.
     std::string name;              ///< Unique in the fleet.
     ZoneId zone;                   ///< Made from `zoneName`.
     std::string zoneName;          ///< Its availability zone.
-    Address peer;                  ///< Where it takes peer connections (websocket).
-    Address relay;                 ///< Where it takes relayed requests (HTTP).
+    Address peer;                  ///< Where it accepts peer connections (websocket).
+    Address relay;                 ///< Where it accepts relayed requests (HTTP).
     std::uint64_t incarnation = 0; ///< Raised by the host itself at each start and refutation.
     MemberState state = MemberState::Alive;
-    std::uint32_t linkMbps = 0; ///< Bandwidth of its link, in Mbit/s; 0: not known.
+    std::uint32_t linkMbps = 0; ///< Bandwidth of its link, in Mbit/s; 0: unknown.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/message.h
+++ b/include/flamingograde/message.h
@@ -1,4 +1,4 @@
-/// The messages between hosts. Each travels as one CBOR map in one websocket message.
+/// The messages between hosts. Each is sent as one CBOR map in one websocket message.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -15,50 +15,50 @@
 
 namespace flamingograde {
 
-/// How busy a cell's home is; a hint for placing idempotent requests.
+/// Load of a cell at its home host; a hint for the placement of idempotent requests.
 struct CellLoad
 {
     CellId cell;
-    std::uint32_t slots = 0;   ///< Slots now offered.
-    std::uint32_t running = 0; ///< Requests under way.
-    std::uint32_t queued = 0;  ///< Requests waiting.
+    std::uint32_t slots = 0;   ///< Slots that are usable now.
+    std::uint32_t running = 0; ///< Requests in progress.
+    std::uint32_t queued = 0;  ///< Requests in the queue.
 };
 
-/// What a host keeps a connection with another one for.
+/// The purpose for which a host keeps a connection to another one.
 enum class LinkUse : std::uint8_t {
-    None,  ///< Nothing: it may be closed.
-    Spare, ///< In reserve, or to tell hosts of other zones.
-    Feed,  ///< To be sent what is new.
+    None,  ///< No purpose: it may be closed.
+    Spare, ///< In reserve, or to send changes to hosts of other zones.
+    Feed,  ///< To receive changes.
 };
 
-/// What every membership message carries beside its purpose.
+/// State that every membership message carries in addition to its own content.
 struct Gossip
 {
-    std::vector<Member> updates;   ///< The newest membership changes.
-    std::vector<CellLoad> loads;   ///< Loads of cells homed at the sender.
-    Revision revision;             ///< The sender's table.
+    std::vector<Member> updates;   ///< The most recent membership changes.
+    std::vector<CellLoad> loads;   ///< Loads of the cells of which the sender is the home.
+    Revision revision;             ///< Revision of the sender's table.
     std::uint64_t tableDigest = 0; ///< Hash of the table's text.
     std::uint32_t platformAgeMs =
-            0; ///< Time since the sender, or whom it heard, last heard the platform.
-    std::uint64_t placements = 0;    ///< Digest of the placements of keys that the sender knows.
-    bool agreed = false;             ///< The sender knows all hosts to have had these placements.
-    Revision directory;              ///< The sender has all changes of the directory up to this.
-    std::uint32_t members = 0;       ///< Digest of the hosts that the sender holds to be at work.
-    LinkUse linkUse = LinkUse::None; ///< What the sender keeps the connection for.
+            0;                    ///< Time since the platform answered the sender or its sources.
+    std::uint64_t placements = 0; ///< Digest of the key placements that the sender knows.
+    bool agreed = false;          ///< The sender knows that all hosts had these placements.
+    Revision directory;           ///< The sender has all directory changes up to this.
+    std::uint32_t members = 0;    ///< Digest of the hosts that the sender regards as working.
+    LinkUse linkUse = LinkUse::None; ///< Purpose for which the sender keeps the connection.
     bool readsFail = false;          ///< The sender's own reads of the directory fail.
 };
 
-/// The first message on a connection, both ways.
+/// The first message that each side sends on a connection.
 struct Hello
 {
     Member self;
     Gossip gossip;
 };
 
-/// Asks for an `Ack`.
+/// Requests an `Ack`.
 struct Ping
 {
-    std::uint64_t sequence = 0; ///< 0: no `Ack` is wanted, the message only carries its gossip.
+    std::uint64_t sequence = 0; ///< 0: no `Ack` is requested, the message only carries gossip.
     Gossip gossip;
 };
 
@@ -76,7 +76,7 @@
     HostId target;
 };
 
-/// Tells what came of a `PingRequest`.
+/// Reports the result of a `PingRequest`.
 struct PingReport
 {
     std::uint64_t sequence = 0;
@@ -84,77 +84,79 @@
     bool alive = false;
 };
 
-/// Asks for the receiver's table where it is newer than `have`, and for its placements of keys.
+/// Requests the receiver's table if it is newer than `have`, and the key placements it knows.
 struct TableRequest
 {
     Revision have;
 };
 
-/// A table and the placements of keys that the sender knows.
+/// A table and the key placements that the sender knows.
 struct TableBody
 {
     Revision revision;
-    std::string text;                       ///< Empty where the receiver has it.
+    std::string text;                       ///< Empty if the receiver has this table.
     WallTime published;                     ///< When the platform published it.
-    std::vector<TablePlacement> placements; ///< By revision; the last one is that of the table.
+    std::vector<TablePlacement> placements; ///< Sorted by revision; the last one is the table's.
 };
 
-/// Asks a host of the zone to give up being home of whatever rendezvous now gives to the sender.
+/// Asks a host of the zone to stop being the home of the cells that rendezvous hashing now assigns
+/// to the sender.
 struct ClaimRequest
 {
-    std::uint64_t round = 0;    ///< Names this request among those of the sender.
+    std::uint64_t round = 0;    ///< Identifies this request among those of the sender.
     std::vector<CellId> cells;  ///< The cells claimed.
-    std::uint64_t claim = 0;    ///< Names the claim; the same in each request until it is granted,
-                                ///< and of no other life of the sender.
+    std::uint64_t claim = 0;    ///< Identifies the claim: constant until it is granted, and not
+                                ///< reused after a restart of the sender.
     std::vector<HostId> voters; ///< All hosts of the zone that the sender asks.
 };
 
-/// What a host knows of a key.
+/// What a host knows about the request with a key.
 enum class KeyState : std::uint8_t {
-    Unseen,  ///< Never dispatched by this host during its tenure, and never will be.
-    Running, ///< Dispatched, no answer yet.
+    Unseen,  ///< Not dispatched by this host in its tenure, and it will not be.
+    Running, ///< Dispatched and not answered yet.
     Done,    ///< Dispatched and answered.
-    Unknown, ///< Dispatched with unknown result, or not this host's to tell.
+    Unknown, ///< Dispatched with unknown result, or this host cannot tell.
 };
 
-/// A key that was dispatched.
+/// A key whose request was dispatched.
 struct HandedKey
 {
     std::uint64_t hash = 0; ///< `hashName` of the key's text.
     KeyState state = KeyState::Unknown;
-    std::int64_t dispatchedUs = 0; ///< Wall time of the dispatch, in microseconds.
+    std::int64_t dispatchedUs = 0; ///< Wall time of the dispatch in microseconds.
 };
 
-/// What a home knows of the keys of a cell when it gives the cell up.
+/// What a home host knows about the keys of a cell when it gives the cell up.
 ///
-/// Every key that was ever dispatched in the cell is in `keys`, or was dispatched before
+/// Each key that was ever dispatched in the cell is in `keys` or was dispatched before
 /// `knownSinceUs`.
 struct CellKnowledge
 {
     CellId cell;
     std::int64_t knownSinceUs = 0; ///< Wall time in microseconds.
-    Revision tables;               ///< This holds for the keys' cell by all tables up to this one.
+    Revision tables; ///< Valid for keys that any table up to this one places in the cell.
     std::vector<HandedKey> keys;
 };
 
-/// Promises that the sender runs nothing more for the granted cells until it claims them itself.
+/// Promises that the sender runs no further request of the granted cells until it claims them.
 struct ClaimGrant
 {
-    std::uint64_t round = 0;     ///< Of the request that this answers.
-    std::vector<CellId> refused; ///< Cells that the sender does not grant now; ask again later.
-    std::vector<CellId> granted; ///< Cells promised. Those in neither list are still finishing.
-    std::vector<CellId> held;    ///< Of `granted`: those that the sender was home of until this.
-    std::vector<CellKnowledge> knowledge; ///< Of the cells in `held`.
+    std::uint64_t round = 0;     ///< Round of the request that this answers.
+    std::vector<CellId> refused; ///< Cells that the sender does not grant now; request them later.
+    std::vector<CellId> granted; ///< Cells granted. Those in neither list still run requests.
+    std::vector<CellId> held;    ///< Those of `granted` of which the sender was the home until now.
+    std::vector<CellKnowledge> knowledge; ///< Knowledge about the cells in `held`.
 };
 
-/// Tells who may have granted it that the sender gave up a claim and was never home by it.
+/// Tells the hosts that may have granted a claim that the sender gave it up and did not become home
+/// through it.
 struct ClaimRelease
 {
-    std::uint64_t claim = 0;   ///< Of the `ClaimRequest`.
+    std::uint64_t claim = 0;   ///< As in the `ClaimRequest`.
     std::vector<CellId> cells; ///< The cells given up.
 };
 
-/// Asks a former home what it knows of a key.
+/// Asks a former home host what it knows about a key.
 struct KeyLookup
 {
     std::uint64_t sequence = 0;
@@ -167,13 +169,13 @@
 {
     std::uint64_t sequence = 0;
     KeyState state = KeyState::Unknown;
-    std::int64_t tenureSinceUs = 0; ///< Wall time from which the sender knows every dispatch.
+    std::int64_t tenureSinceUs = 0; ///< Wall time in us from which the sender knows all dispatches.
 };
 
-/// Asks for the directory's changes; answered with a `DirectoryUpdate`.
+/// Requests directory changes; answered with a `DirectoryUpdate`.
 struct DirectoryRequest
 {
-    Revision have; ///< Up to where the sender has them; invalid: it has none.
+    Revision have; ///< The sender has the changes up to this; invalid: it has none.
 };
 
 using Message = std::variant<Hello, Ping, Ack, PingRequest, PingReport, TableRequest, TableBody,
--- a/include/flamingograde/packethead.h
+++ b/include/flamingograde/packethead.h
@@ -1,4 +1,4 @@
-/// The part of a caller's packet that the library decides by.
+/// The part of a caller's packet on which the library bases its decision.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -8,25 +8,25 @@
 
 namespace flamingograde {
 
-/// What a packet says of its flow.
+/// Flags in a packet's header.
 struct PacketFlags
 {
-    bool opens = false;        ///< Asks for a new flow.
-    bool acknowledges = false; ///< `PacketHead::acknowledged` counts.
-    bool finishes = false;     ///< The caller sends nothing more.
-    bool resets = false;       ///< The caller gave the flow up.
-    bool returned = false;     ///< Marked as handed back by an upstream: none of a caller's is.
+    bool opens = false;        ///< Opens a new flow.
+    bool acknowledges = false; ///< `PacketHead::acknowledged` is valid.
+    bool finishes = false;     ///< The caller sends no more data.
+    bool resets = false;       ///< The caller aborts the flow.
+    bool returned = false;     ///< Returned by an upstream; never set in packets of callers.
 };
 
-/// A decoded packet of a caller. Its data is opaque and stays with the transport.
+/// The decoded header of a caller's packet. The data is opaque and stays with the transport.
 struct PacketHead
 {
-    Address service;                ///< Where the caller sent it: decides the row.
-    Address caller;                 ///< Where the flow's other end is.
-    Cookie cookie;                  ///< The last one that the caller got on this flow.
-    std::uint32_t sequence = 0;     ///< Of the first byte of data.
-    std::uint32_t acknowledged = 0; ///< The next byte that the caller waits for.
-    std::uint32_t copy = 0;         ///< Of an opening packet: how often it was sent before.
+    Address service;                ///< Destination address; determines the row.
+    Address caller;                 ///< Source address of the packet.
+    Cookie cookie;                  ///< The last cookie that the caller received on this flow.
+    std::uint32_t sequence = 0;     ///< Sequence number of the first byte of data.
+    std::uint32_t acknowledged = 0; ///< Sequence number of the next byte that the caller expects.
+    std::uint32_t copy = 0;         ///< For an opening packet: how often it was sent before.
     std::uint16_t dataBytes = 0;    ///< Length of its data.
     PacketFlags flags;
 };
--- a/include/flamingograde/packetpolicy.h
+++ b/include/flamingograde/packetpolicy.h
@@ -5,12 +5,12 @@
 
 namespace flamingograde {
 
-/// The placement policies of packet flows. The first is the product's; the others are baselines
-/// to measure it against.
+/// The placement policies of packet flows. The first one is the default; the others are baselines
+/// for comparison.
 enum class PacketPolicy : std::uint8_t {
-    LeastBusy, ///< The least busy upstream, as callers' packets show it.
-    Random,    ///< Any upstream of the own zone with the same chance.
-    Hash,      ///< By the hash of the flow's ends.
+    LeastBusy, ///< The least busy upstream, judged by callers' packets.
+    Random,    ///< A random upstream of the own zone, each with the same probability.
+    Hash,      ///< By a hash of the flow's endpoint addresses.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/packetrow.h
+++ b/include/flamingograde/packetrow.h
@@ -1,4 +1,4 @@
-/// One row of the packet services.
+/// A row whose requests arrive as packets.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -13,26 +13,26 @@
 
 namespace flamingograde {
 
-/// A service that takes part of a row's new flows.
+/// A service that gets a share of a row's new flows.
 struct ServiceShare
 {
     ServiceId service;        ///< Made from `serviceName`.
-    std::string serviceName;  ///< The service whose upstreams carry this part.
-    std::uint32_t weight = 1; ///< Share of the new flows; 0: none.
+    std::string serviceName;  ///< The service whose upstreams get this share.
+    std::uint32_t weight = 1; ///< Relative share of the new flows; 0: none.
 };
 
-/// A row whose flows come as packets. The address that a packet is sent to decides the row.
+/// A row whose flows arrive as packets. The destination address of a packet determines the row.
 struct PacketRow
 {
     RowId id;                         ///< Made from `name`.
     std::string name;                 ///< Unique among rows.
-    Address address;                  ///< Where callers reach it; unique among rows.
+    Address address;                  ///< Address that callers use; unique among rows.
     std::vector<ServiceShare> shares; ///< At least one.
     RequestKind kind = RequestKind::Request;
-    bool idempotent = true;                      ///< Whether a repeat of its requests does no harm.
-    std::uint32_t urgency = 0;                   ///< 0 to 9; a higher one is counted first.
-    Duration deadline = config::defaultDeadline; ///< Callers give a request up after this.
-    Duration target { 0 };                       ///< Response time aimed for; 0: none.
+    bool idempotent = true;                      ///< Whether its requests may be repeated safely.
+    std::uint32_t urgency = 0;                   ///< 0 to 9; a higher one is more urgent.
+    Duration deadline = config::defaultDeadline; ///< Time after which callers abandon a request.
+    Duration target { 0 };                       ///< Target response time; 0: none.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/packetrows.h
+++ b/include/flamingograde/packetrows.h
@@ -1,4 +1,4 @@
-/// The rows of the packet services under one version.
+/// A version of all packet rows.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -12,14 +12,14 @@
 
 namespace flamingograde {
 
-/// What operators published of packet services. Immutable once published.
+/// The packet rows and cold limits that operators published. Immutable once published.
 struct PacketRows
 {
-    std::uint64_t version = 0;            ///< The operators' own number; for logs and dumps.
-    Revision changed;                     ///< The directory's revision of it.
+    std::uint64_t version = 0; ///< Version number set by the operators; for logs and dumps.
+    Revision changed;          ///< Directory revision of the last change of the rows.
     Duration flowIdle = config::flowIdle; ///< A flow without packets for this long may be dropped.
     std::vector<PacketRow> rows;
-    std::vector<ColdLimit> coldLimits; ///< Of services that have a cold limit.
+    std::vector<ColdLimit> coldLimits; ///< One for each service that has a cold limit.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/policy.h
+++ b/include/flamingograde/policy.h
@@ -5,14 +5,13 @@
 
 namespace flamingograde {
 
-/// The placement policies. The first is the product's; the others are baselines to measure it
-/// against.
+/// The placement policies. The first one is the default; the others are baselines for comparison.
 enum class Policy : std::uint8_t {
-    CellHome,         ///< One home host per service and zone admits to all its upstreams.
-    UpstreamHome,     ///< A queue of its own for each upstream, at its cell's home.
-    LocalLeastLoaded, ///< Each host picks the upstream with its own fewest requests.
-    TwoChoices,       ///< Each host picks the better of two by its own count.
-    StaticHash,       ///< The upstream is a hash of the exchange.
+    CellHome,         ///< One home host per service and zone admits requests to all its upstreams.
+    UpstreamHome,     ///< Each upstream has a queue of its own at its cell's home host.
+    LocalLeastLoaded, ///< Each host picks the upstream that has the fewest of its own requests.
+    TwoChoices,       ///< Each host picks the less loaded of two random upstreams by its own count.
+    StaticHash,       ///< The upstream is chosen by a hash of the exchange.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/requestkind.h
+++ b/include/flamingograde/requestkind.h
@@ -1,4 +1,4 @@
-/// The kinds of work that a row carries.
+/// Kinds of requests.
 #pragma once
 
 #include <cstdint>
@@ -6,11 +6,11 @@
 
 namespace flamingograde {
 
-/// What the packets of a row are.
+/// The kind of the requests of a row.
 enum class RequestKind : std::uint8_t {
-    Feed,    ///< A long-lived answer of events; takes a connection of its upstream.
-    Request, ///< A short request and its answer; takes a slot.
-    Upload,  ///< A request with a large body; takes a slot.
+    Feed,    ///< A long-lived stream of events; occupies a connection of its upstream.
+    Request, ///< A short request and its answer; occupies a slot.
+    Upload,  ///< A request with a large body; occupies a slot.
 };
 
 /// Returns the kind's name in the table.
--- a/include/flamingograde/revision.h
+++ b/include/flamingograde/revision.h
@@ -1,16 +1,16 @@
-/// The age of a table.
+/// Revisions of tables and of the directory.
 #pragma once
 
 #include <cstdint>
 
 namespace flamingograde {
 
-/// A table's revision. The platform gives it; it only rises. 0 stands for "no table yet".
+/// A revision, assigned by the platform; it only rises. 0 means "none yet" and is invalid.
 struct Revision
 {
     std::uint64_t number = 0;
 
-    /// Returns whether this is the revision of a table.
+    /// Returns whether this is a revision that the platform assigned.
     [[nodiscard]] constexpr auto isValid() const -> bool { return this->number != 0; }
 
     friend constexpr auto operator==(Revision a, Revision b) -> bool
--- a/include/flamingograde/strongid.h
+++ b/include/flamingograde/strongid.h
@@ -1,4 +1,4 @@
-/// Identifiers that cannot be mixed up.
+/// Type-safe identifiers.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +8,12 @@
 
 namespace flamingograde {
 
-/// Returns the 64-bit hash from which ids are made; never 0.
-/// @remarks Thread safe. Stable across processes and versions: ids cross the network.
+/// Returns the 64-bit hash of `name` that serves as an id; never 0.
+/// @remarks Thread safe. Stable across processes and versions: ids are sent over the network.
 [[nodiscard]] auto hashName(std::string_view name) -> std::uint64_t;
 
-/// A 64-bit identifier of the kind named by `Tag`. The default value is invalid.
+/// A 64-bit identifier of the kind given by `Tag`; ids of different kinds cannot be mixed up. The
+/// default value is invalid.
 /// @remarks A value type: thread safe as long as one object is not written concurrently.
 template<typename Tag>
 class StrongId
@@ -21,16 +22,16 @@
     constexpr StrongId() = default;
     constexpr explicit StrongId(std::uint64_t value) : number(value) {}
 
-    /// Returns the id of the thing called `name`. Precondition: none.
+    /// Returns the id of the object named `name`. Precondition: none.
     [[nodiscard]] static auto ofName(std::string_view name) -> StrongId
     {
         return StrongId(hashName(name));
     }
 
-    /// Returns whether this names anything.
+    /// Returns whether this identifies an object.
     [[nodiscard]] constexpr auto isValid() const -> bool { return this->number != 0; }
 
-    /// Returns the number, for hashing and for the wire.
+    /// Returns the numeric value, for hashing and for messages.
     [[nodiscard]] constexpr auto value() const -> std::uint64_t { return this->number; }
 
     friend constexpr auto operator==(StrongId a, StrongId b) -> bool
--- a/include/flamingograde/table.h
+++ b/include/flamingograde/table.h
@@ -1,4 +1,4 @@
-/// The table of services.
+/// The table of rows, upstreams and token keys.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -13,14 +13,14 @@
 
 namespace flamingograde {
 
-/// An accepted table with its look-ups. Immutable once built.
+/// A valid table with its indices. Immutable once built.
 /// @remarks Thread safe for readers.
 class Table
 {
 public:
     Table() = default;
 
-    /// Builds the look-ups. Precondition: names and addresses are unique, as `parseTable` checks.
+    /// Builds the indices. Precondition: names and addresses are unique, as `parseTable` checks.
     Table(std::vector<Row> rows, std::vector<Upstream> upstreams, std::vector<TokenKey> keys);
 
     [[nodiscard]] auto rows() const -> const std::vector<Row> & { return this->rowList; }
@@ -30,15 +30,15 @@
     }
     [[nodiscard]] auto tokenKeys() const -> const std::vector<TokenKey> & { return this->keyList; }
 
-    /// Returns the row reached at `address`, or null.
+    /// Returns the row with the address `address`, or null.
     [[nodiscard]] auto rowAt(Address address) const -> const Row *;
-    /// Returns the row `id`, or null.
+    /// Returns the row with the id `id`, or null.
     [[nodiscard]] auto row(RowId id) const -> const Row *;
-    /// Returns the upstream `id`, or null.
+    /// Returns the upstream with the id `id`, or null.
     [[nodiscard]] auto upstream(UpstreamId id) const -> const Upstream *;
-    /// Returns the indices into `upstreams()` of the service's upstreams; empty for an unknown one.
+    /// Returns the indices into `upstreams()` of the service's upstreams; empty if unknown.
     [[nodiscard]] auto upstreamsOf(ServiceId service) const -> const std::vector<std::size_t> &;
-    /// Returns the indices into `upstreams()` of the cell's upstreams; empty for an unknown one.
+    /// Returns the indices into `upstreams()` of the cell's upstreams; empty if unknown.
     [[nodiscard]] auto upstreamsOf(CellId cell) const -> const std::vector<std::size_t> &;
     /// Returns the zones in which `service` has upstreams, each once, in the order of the table.
     [[nodiscard]] auto zonesOf(ServiceId service) const -> const std::vector<ZoneId> &;
--- a/include/flamingograde/tablediff.h
+++ b/include/flamingograde/tablediff.h
@@ -1,4 +1,4 @@
-/// What an edit of the table changes.
+/// Differences between two tables.
 #pragma once
 
 #include <string>
@@ -8,13 +8,13 @@
 
 class Table;
 
-/// One change between two tables, in words.
+/// A difference between two tables, as text.
 struct TableChange
 {
-    std::string what; ///< What changes, such as "row "papers": weight 1 -> 2".
-    std::string risk; ///< What is dangerous about it and what to do instead; empty for nothing.
+    std::string what; ///< The change, such as "row "papers": weight 1 -> 2".
+    std::string risk; ///< Its risk and what to do instead; empty if there is none.
 
-    /// Returns whether the change may do harm. Precondition: none.
+    /// Returns whether the change has a risk. Precondition: none.
     /// @remarks Thread safe.
     [[nodiscard]] auto isDangerous() const -> bool { return !this->risk.empty(); }
 
@@ -23,8 +23,8 @@
     [[nodiscard]] auto toString() const -> std::string;
 };
 
-/// Returns what changes when `after` takes the place of `before`: token keys, rows, upstreams,
-/// then what this means for whole services.
+/// Returns the changes when `after` replaces `before`: those of token keys, rows and upstreams,
+/// then the effects on whole services.
 /// @remarks Thread safe.
 [[nodiscard]] auto diffTables(const Table &before, const Table &after) -> std::vector<TableChange>;
 
--- a/include/flamingograde/tableparser.h
+++ b/include/flamingograde/tableparser.h
@@ -1,4 +1,4 @@
-/// Reads a table from TOML.
+/// Parses tables in TOML.
 #pragma once
 
 #include <flamingograde/finding.h>
@@ -10,10 +10,10 @@
 
 namespace flamingograde {
 
-/// Reads and checks the table in `text`.
-/// @param text the TOML text; up to `config::tableBytesMax`.
-/// @param file the name that findings carry.
-/// @returns the table, or every fault found.
+/// Parses and validates the table in `text`.
+/// @param text the TOML text, of up to `config::tableBytesMax` bytes.
+/// @param file the file name for findings.
+/// @returns the table, or all faults found.
 /// @remarks Thread safe. Throws nothing.
 [[nodiscard]] auto parseTable(std::string_view text, std::string_view file)
         -> tl::expected<Table, Findings>;
--- a/include/flamingograde/tableplacement.h
+++ b/include/flamingograde/tableplacement.h
@@ -1,4 +1,4 @@
-/// What a table says of the placement of idempotency keys.
+/// How a table places idempotency keys in zones.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -23,15 +23,15 @@
     }
 };
 
-/// The part of a table that decides in which zone a key is run. Kept, and handed to other hosts,
-/// while keys can come that were made under it.
+/// The part of a table that determines in which zone the request with a key is run. It is stored,
+/// and sent to other hosts, as long as requests may arrive whose keys were made while it applied.
 struct TablePlacement
 {
     Revision revision;
     WallTime published;           ///< When the platform published it.
     std::vector<ZoneSlots> zones; ///< Sorted by service and zone.
 
-    /// When all hosts were known to have this placement and the same ones before it.
+    /// Time at which all hosts were known to have this placement and the same earlier ones.
     std::optional<WallTime> agreed;
 };
 
--- a/include/flamingograde/tableprinter.h
+++ b/include/flamingograde/tableprinter.h
@@ -1,4 +1,4 @@
-/// Prints the table for operators.
+/// Formats tables for operators.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 class Table;
 
-/// Returns the table as an aligned spreadsheet: rows, upstreams, a summary by service and
+/// Returns the table as text in aligned columns: rows, upstreams, a summary by service and
 /// availability zone, and the token keys without their secrets.
 /// @remarks Thread safe.
 [[nodiscard]] auto printTable(const Table &table) -> std::string;
--- a/include/flamingograde/tokenkey.h
+++ b/include/flamingograde/tokenkey.h
@@ -1,4 +1,4 @@
-/// A key under which flow tokens are signed.
+/// Key for signing flow tokens.
 #pragma once
 
 #include <array>
@@ -6,14 +6,14 @@
 
 namespace flamingograde {
 
-/// A published key. Every key of the table verifies; the one marked `signing` also signs.
+/// A published key. All keys of the table verify tokens; the one marked `signing` also signs them.
 struct TokenKey
 {
     static constexpr std::size_t secretBytes = 16;
 
-    std::uint8_t id = 0;                             ///< Carried in the token.
+    std::uint8_t id = 0;                             ///< Identifies the key in tokens.
     std::array<std::uint8_t, secretBytes> secret {}; ///< Shared by all hosts.
-    bool signing = false;                            ///< Exactly one key of a table signs.
+    bool signing = false;                            ///< True for exactly one key of a table.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/upstream.h
+++ b/include/flamingograde/upstream.h
@@ -1,4 +1,4 @@
-/// One upstream of the table.
+/// An upstream of the table or of the directory.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -10,33 +10,33 @@
 
 namespace flamingograde {
 
-/// What the table says of an upstream.
+/// State of an upstream according to the table.
 enum class UpstreamState : std::uint8_t {
-    Active,   ///< Takes new work.
-    Draining, ///< Finishes what it has and takes nothing new.
+    Active,   ///< Gets new work.
+    Draining, ///< Finishes its work and gets no new work.
 };
 
-/// An upstream as an operator wrote it.
+/// An upstream as published in the table or the directory.
 struct Upstream
 {
     UpstreamId id;                    ///< Made from `name`.
     std::string name;                 ///< Unique among upstreams.
     ServiceId service;                ///< Made from `serviceName`.
-    std::string serviceName;          ///< The one service it belongs to.
+    std::string serviceName;          ///< The only service it belongs to.
     ZoneId zone;                      ///< Made from `zoneName`.
     std::string zoneName;             ///< Its availability zone.
     Address address;                  ///< Unique among upstreams.
-    std::uint32_t slots = 2;          ///< Requests and uploads it runs at once.
-    std::uint32_t connections = 2000; ///< Feeds it holds at once.
+    std::uint32_t slots = 2;          ///< Requests and uploads that it runs at once.
+    std::uint32_t connections = 2000; ///< Feeds that it holds open at once.
     UpstreamState state = UpstreamState::Active;
-    InstanceId instance;    ///< Needed to reach it with packets; invalid: not reached so.
-    Duration warmup { 0 };  ///< How much longer it was slow after its start, when it said so.
-    WallTime born;          ///< When it started, by its own clock; 1970: it does not say. Another
-                            ///< start of the same instance holds nothing of the one before.
-    std::string version;    ///< Of its software; empty where it does not say.
-    std::uint32_t line = 0; ///< Where the table's text has it.
+    InstanceId instance;    ///< Needed to send it packets; invalid: it gets no packets.
+    Duration warmup { 0 };  ///< How much longer it is cold, counted from its report.
+    WallTime born;          ///< Time of its start by its own clock; 1970: not reported. After a
+                            ///< restart, an instance has no state from before.
+    std::string version;    ///< Version of its software; empty if not reported.
+    std::uint32_t line = 0; ///< Line of the upstream in the table's text.
 
-    /// Returns the cell it belongs to.
+    /// Returns the cell to which it belongs.
     [[nodiscard]] auto cell() const -> CellId { return cellOf(this->service, this->zone); }
 };
 
--- a/include/flamingograde/verdict.h
+++ b/include/flamingograde/verdict.h
@@ -1,4 +1,4 @@
-/// Whether a request was run.
+/// Whether a request was run by an upstream.
 #pragma once
 
 #include <cstdint>
@@ -6,14 +6,15 @@
 
 namespace flamingograde {
 
-/// What an answer says about the request's execution.
+/// States in an answer whether the request was run.
 enum class Verdict : std::uint8_t {
     Run,     ///< An upstream ran it and this is its answer.
-    NotRun,  ///< Nothing was sent to any upstream for this attempt, or the upstream shed it unrun.
-    Unknown, ///< It may have been sent; only the upstream knows.
+    NotRun,  ///< This attempt was not sent to an upstream, or the upstream shed it without running
+             ///< it.
+    Unknown, ///< It may have been sent to an upstream, which may have run it.
 };
 
-/// Returns "run", "not-run" or "unknown", as answers carry it.
+/// Returns "run", "not-run" or "unknown", the text that answers carry.
 /// @remarks Thread safe.
 [[nodiscard]] auto toString(Verdict verdict) -> std::string_view;
 
--- a/include/flamingograde/zoneevacuation.h
+++ b/include/flamingograde/zoneevacuation.h
@@ -12,7 +12,7 @@
 struct ZoneEvacuation
 {
     ZoneId zone;          ///< Derived from `zoneName`.
-    std::string zoneName; ///< As given in the order; no upstream need be in such a zone.
+    std::string zoneName; ///< As in the order; the zone may have no upstreams.
     Revision at;          ///< Revision of the order, or of its removal.
     bool inForce = true;  ///< False: the evacuation has ended.
 };
--- a/src/core/balancer.cpp
+++ b/src/core/balancer.cpp
@@ -1,4 +1,4 @@
-/// The library's entry point: one event in, its actions out.
+/// The library's entry point: passes each event to the controllers and returns their actions.
 #include <flamingograde/balancer.h>
 
 #include "core/blackboard.h"
--- a/src/core/blackboard.h
+++ b/src/core/blackboard.h
@@ -1,4 +1,4 @@
-/// The state of a host. Controllers read and write it; none calls another.
+/// The state of a host, through which its controllers exchange data: none calls another.
 #pragma once
 
 #include "core/configuration/configstate.h"
@@ -28,63 +28,63 @@
 
 namespace flamingograde {
 
-/// Everything a host knows, one part a matter.
+/// The whole state of a host, with one member per subject.
 ///
-/// The controllers run in a fixed order on each event. The lists `toPlace` and `toAdmit` hand
-/// exchanges from one to the next.
+/// The controllers run in a fixed order on each event. The lists `toOpen`, `toPlace`, `toAdmit` and
+/// `toQueue` pass exchanges from one controller to another.
 /// @remarks Not thread safe.
 class Blackboard
 {
 public:
-    explicit Blackboard(Init start)
-        : init(std::move(start)), random(this->init.seed), config(this->init.clockBound),
+    explicit Blackboard(Init settings)
+        : init(std::move(settings)), random(this->init.seed), config(this->init.clockBound),
           directory(ZoneId::ofName(this->init.self.zoneName),
                     this->init.coldPolicy != ColdPolicy::Unlimited),
           packets(this->init.flowsTracked, this->init.packetPolicy)
     {}
 
-    Init init;                  ///< The settings; constant but for the seeds.
+    Init init;                  ///< The settings; only the seeds change after the start.
     Now now;                    ///< The time of the current event.
     std::vector<Action> outbox; ///< The actions of the current event.
     Stats stats;                ///< Counters.
     std::mt19937_64 random;     ///< The only source of random numbers.
 
-    ConfigState config;              ///< The table in force and what is known of the platform.
+    ConfigState config;              ///< The table in force and the state of the platform.
     Directory directory;             ///< Packet rows and upstreams, as the platform publishes them.
     bool directoryReadsFail = false; ///< This host's last read of the directory failed.
-    PacketState packets;             ///< Packet flows that are watched.
-    std::vector<Log> notes;          ///< What packets changed; logged with the next tick.
+    PacketState packets;             ///< Tracked packet flows.
+    std::vector<Log> notes;          ///< Log lines caused by packets; written with the next tick.
     MembershipState membership;      ///< The other hosts.
-    LinkState links;                 ///< With which of them this host keeps connections.
-    TenureState tenure;              ///< The cells this host is home of.
-    ExchangeStore exchanges;         ///< Requests under way.
-    FeedStore feeds;                 ///< Feeds held.
-    CellStore cells;                 ///< Queues and slots of the cells this host is home of.
-    KeyRegistry keys;                ///< Keys this host has run.
-    PlacedShares placed;             ///< What each cell was given by this host.
-    UpstreamStore upstreams;         ///< What is known of upstreams beside the table.
-    RetryBudget retryBudget;         ///< Retries still allowed.
-    StopState stop;                  ///< The orderly stop.
+    LinkState links;                 ///< Connections that this host keeps with other hosts.
+    TenureState tenure;              ///< The cells of which this host is the home.
+    ExchangeStore exchanges;         ///< Requests in progress.
+    FeedStore feeds;                 ///< Open feeds.
+    CellStore cells;         ///< Queues and slots of the cells of which this host is the home.
+    KeyRegistry keys;        ///< Idempotency keys whose requests this host has run.
+    PlacedShares placed;     ///< Placements that this host has made at each cell.
+    UpstreamStore upstreams; ///< Run-time state of upstreams, besides the table.
+    RetryBudget retryBudget; ///< Retries still allowed.
+    StopState stop;          ///< The orderly stop.
 
-    std::vector<ExchangeId> toOpen;  ///< For the feed controller.
-    std::vector<ExchangeId> toPlace; ///< For the steering controller.
-    std::vector<ExchangeId> toAdmit; ///< For the key controller; at their home, this host.
-    std::vector<ExchangeId> toQueue; ///< For the admission controller; keys are checked.
+    std::vector<ExchangeId> toOpen;  ///< Feeds for the feed controller to open.
+    std::vector<ExchangeId> toPlace; ///< For the steering controller to place at a home host.
+    std::vector<ExchangeId> toAdmit; ///< For the key controller; this host is their home.
+    std::vector<ExchangeId> toQueue; ///< For the admission controller; their keys are checked.
 
-    /// Appends an action.
+    /// Appends an action to the outbox.
     template<typename A>
     auto act(A action) -> void
     {
         this->outbox.emplace_back(std::move(action));
     }
 
-    /// Appends a log action.
+    /// Appends a log action to the outbox.
     auto log(LogEvent event, std::string text) -> void
     {
         this->outbox.emplace_back(Log { event, std::move(text) });
     }
 
-    /// Returns the table in force; an empty one before the first.
+    /// Returns the table in force, or an empty one if no table has been accepted yet.
     [[nodiscard]] auto table() const -> const Table & { return *this->config.table; }
 };
 
--- a/src/core/configuration/configcontroller.cpp
+++ b/src/core/configuration/configcontroller.cpp
@@ -1,4 +1,4 @@
-/// When to read the platform, what to ask of other hosts, and which table to take.
+/// Decides when to read the platform, what to request from other hosts, and which table to accept.
 #include "core/configuration/configcontroller.h"
 
 #include "core/blackboard.h"
@@ -18,17 +18,17 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration readSlack = 5s;          ///< A read unanswered this long after its wait failed.
-constexpr Duration platformStale = 3s;      ///< A host that hears no newer word reads for itself.
-constexpr Duration peerRequestTimeout = 1s; ///< A host is given this long to send its table.
-constexpr Duration placementRequestPeriod = 500ms; ///< Between requests for placements.
-constexpr Duration startupHostPeriod = 500ms; ///< Period of the host list until it names this host.
-constexpr Duration startupReads = 10s;        ///< How long that period holds.
+constexpr Duration readTimeoutMargin = 5s;  ///< Longest time for an answer after the wait.
+constexpr Duration platformStale = 3s;      ///< A host with older news of the platform reads it.
+constexpr Duration peerRequestTimeout = 1s; ///< Longest wait for a table from another host.
+constexpr Duration placementRequestPeriod = 500ms; ///< Shortest time between placement requests.
+constexpr Duration startupHostListPeriod = 500ms;  ///< Used until the host list names this host.
+constexpr Duration startupPeriod = 10s; ///< `startupHostListPeriod` is used up to this age.
 
-/// The key under which the readers of a zone are drawn.
+/// Rendezvous key by which the platform readers of a zone are elected.
 const auto readerKey = hashName("platform reader");
 
-/// Returns whether this host is one of its zone's readers.
+/// Returns whether this host is one of the platform readers of its zone.
 auto isReader(const Blackboard &board) -> bool
 {
     const auto self = board.init.self.id;
@@ -42,20 +42,21 @@
     return better < config::readersPerZone;
 }
 
-/// Returns a pause drawn from the upper half of `pause`.
+/// Returns a random duration between half of `pause` and `pause`.
 auto jittered(Blackboard &board, Duration pause) -> Duration
 {
     std::uniform_int_distribution<Duration::rep> draw(pause.count() / 2, pause.count());
     return Duration(draw(board.random));
 }
 
-/// Returns the pause after one more fruitless read.
-auto raised(Duration backoff) -> Duration
+/// Returns the pause after a further read that failed or gave no newer table.
+auto nextBackoff(Duration backoff) -> Duration
 {
     return std::clamp<Duration>(backoff * 2, config::platformRetryMin, config::platformRetryMax);
 }
 
-/// Sends a host what it lacks of the table and the placements of keys.
+/// Sends a host the placements of keys, and the table's text if its revision `have` is older; sends
+/// nothing if it is newer.
 auto sendTable(Blackboard &board, HostId host, Revision have) -> void
 {
     const auto &config = board.config;
@@ -88,28 +89,28 @@
 
 auto ConfigController::on(Blackboard &board, const TableFetched &fetched) -> void
 {
-    this->tableAsked = false;
-    this->platformAnswered(board);
-    const auto newest = this->newestSeen(board);
+    this->isTableReadPending = false;
+    this->notePlatformAnswer(board);
+    const auto newest = this->newestKnown(board);
     const auto published = fetched.published.value_or(board.now.wall);
-    this->offer(board, { fetched.revision, fetched.text, published });
-    const auto fruitless = !(newest < fetched.revision);
-    this->backoff = fruitless ? raised(this->backoff) : 0ms;
+    this->considerTable(board, { fetched.revision, fetched.text, published });
+    const auto isNotNewer = !(newest < fetched.revision);
+    this->backoff = isNotNewer ? nextBackoff(this->backoff) : 0ms;
     this->nextTableRead = board.now.mono + jittered(board, this->backoff);
 }
 
 auto ConfigController::on(Blackboard &board, const TableUnchanged & /*unchanged*/) -> void
 {
-    this->tableAsked = false;
-    this->platformAnswered(board);
+    this->isTableReadPending = false;
+    this->notePlatformAnswer(board);
     this->backoff = 0ms;
     this->nextTableRead = board.now.mono + jittered(board, config::platformRetryMin);
 }
 
 auto ConfigController::on(Blackboard &board, const HostsFetched & /*fetched*/) -> void
 {
-    this->hostsAsked = false;
-    this->platformAnswered(board);
+    this->isHostReadPending = false;
+    this->notePlatformAnswer(board);
 }
 
 auto ConfigController::on(Blackboard &board, const PlatformFailed &failed) -> void
@@ -120,18 +121,18 @@
         board.log(LogEvent::PlatformLost, "why=\"" + failed.why + "\"");
     }
     if (failed.read == PlatformRead::Hosts) {
-        this->hostsAsked = false;
+        this->isHostReadPending = false;
         return;
     }
-    this->tableAsked = false;
-    this->backoff = raised(this->backoff);
+    this->isTableReadPending = false;
+    this->backoff = nextBackoff(this->backoff);
     this->nextTableRead = board.now.mono + jittered(board, this->backoff);
 }
 
 auto ConfigController::on(Blackboard &board, const PeerMessage &received) -> void
 {
     if (const auto *gossip = gossipOf(received.message)) {
-        this->noteGossip(board, received.from, *gossip);
+        this->handleGossip(board, received.from, *gossip);
         return;
     }
     if (const auto *request = std::get_if<TableRequest>(&received.message)) {
@@ -139,18 +140,18 @@
         return;
     }
     if (const auto *body = std::get_if<TableBody>(&received.message)) {
-        this->nextPeerRequest = board.now.mono;
+        this->nextTableRequest = board.now.mono;
         if (!body->text.empty()) {
-            this->offer(board, { body->revision, body->text, body->published });
+            this->considerTable(board, { body->revision, body->text, body->published });
         }
         if (body->revision == board.config.revision) {
             board.config.placements.merge(body->placements, board.now.wall);
-            this->agreementTaken = board.config.placements.isAgreed();
+            this->agreementTimeReceived = board.config.placements.isAgreed();
         }
     }
 }
 
-auto ConfigController::noteGossip(Blackboard &board, HostId from, const Gossip &gossip) -> void
+auto ConfigController::handleGossip(Blackboard &board, HostId from, const Gossip &gossip) -> void
 {
     notePlatformAge(board, gossip);
     if (auto *record = board.membership.record(from)) {
@@ -160,7 +161,7 @@
     if (gossip.revision.isValid() && gossip.revision == board.config.revision) {
         this->compareDigest(board, gossip.tableDigest);
     }
-    if (this->newestSeen(board) < gossip.revision && board.now.mono >= this->nextPeerRequest) {
+    if (this->newestKnown(board) < gossip.revision && board.now.mono >= this->nextTableRequest) {
         this->requestTable(board, from);
     }
     if (gossip.revision.isValid() && gossip.revision == board.config.revision) {
@@ -171,8 +172,8 @@
 auto ConfigController::compareDigest(Blackboard &board, std::uint64_t digest) -> void
 {
     const auto revision = board.config.revision;
-    if (digest != board.config.digest && this->conflicting != revision) {
-        this->conflicting = revision;
+    if (digest != board.config.digest && this->conflictLogged != revision) {
+        this->conflictLogged = revision;
         board.log(LogEvent::TableConflict, "revision=" + std::to_string(revision.number));
     }
 }
@@ -184,7 +185,7 @@
         if (gossip.agreed) {
             board.config.placements.agree(board.now.wall);
         }
-        if (!gossip.agreed || this->agreementTaken) {
+        if (!gossip.agreed || this->agreementTimeReceived) {
             return;
         }
     }
@@ -197,28 +198,28 @@
 auto ConfigController::requestTable(Blackboard &board, HostId from) -> void
 {
     if (sendPeer(board, from, TableRequest { board.config.revision })) {
-        this->nextPeerRequest = board.now.mono + peerRequestTimeout;
+        this->nextTableRequest = board.now.mono + peerRequestTimeout;
     }
 }
 
 auto ConfigController::on(Blackboard &board, const Tick & /*tick*/) -> void
 {
     const auto now = board.now.mono;
-    if (this->tableAsked && now >= this->tableGivenUp) {
-        this->on(board, PlatformFailed { PlatformRead::Table, "no answer" });
+    if (this->isTableReadPending && now >= this->tableReadDeadline) {
+        this->on(board, PlatformFailed { PlatformRead::Table, "no answer to the table read" });
     }
-    if (this->hostsAsked && now >= this->hostsGivenUp) {
-        this->on(board, PlatformFailed { PlatformRead::Hosts, "no answer" });
+    if (this->isHostReadPending && now >= this->hostReadDeadline) {
+        this->on(board, PlatformFailed { PlatformRead::Hosts, "no answer to the host list read" });
     }
-    reviewPlacements(board);
+    updatePlacementAgreement(board);
     this->readPlatform(board);
 }
 
 auto ConfigController::readPlatform(Blackboard &board) -> void
 {
     const auto now = board.now.mono;
-    const auto tableDue = !this->tableAsked && now >= this->nextTableRead;
-    const auto hostsDue = !this->hostsAsked && now >= this->nextHostRead;
+    const auto tableDue = !this->isTableReadPending && now >= this->nextTableRead;
+    const auto hostsDue = !this->isHostReadPending && now >= this->nextHostRead;
     if (!tableDue && !hostsDue) {
         return;
     }
@@ -235,11 +236,11 @@
     }
 }
 
-auto ConfigController::offer(Blackboard &board, const TableSource &source) -> void
+auto ConfigController::considerTable(Blackboard &board, const TableSource &source) -> void
 {
     const auto revision = source.revision;
     const auto &text = source.text;
-    if (!revision.isValid() || revision == this->refused) {
+    if (!revision.isValid() || revision == this->newestRefused) {
         return;
     }
     if (revision < board.config.revision) {
@@ -267,7 +268,7 @@
         -> void
 {
     ++board.stats.tablesRefused;
-    this->refused = std::max(this->refused, revision);
+    this->newestRefused = std::max(this->newestRefused, revision);
     std::string text = "revision=" + std::to_string(revision.number);
     for (const auto &finding : findings) {
         text += " finding=\"" + finding.toString() + "\"";
@@ -278,25 +279,25 @@
 auto ConfigController::readTable(Blackboard &board, Duration wait) -> void
 {
     ++board.stats.platformReads;
-    this->tableAsked = true;
-    this->tableGivenUp = board.now.mono + wait + readSlack;
-    board.act(ReadTable { this->newestSeen(board), wait });
+    this->isTableReadPending = true;
+    this->tableReadDeadline = board.now.mono + wait + readTimeoutMargin;
+    board.act(ReadTable { this->newestKnown(board), wait });
 }
 
 auto ConfigController::readHosts(Blackboard &board) -> void
 {
     ++board.stats.platformReads;
-    this->hostsAsked = true;
-    this->hostsGivenUp = board.now.mono + readSlack;
+    this->isHostReadPending = true;
+    this->hostReadDeadline = board.now.mono + readTimeoutMargin;
     const auto &membership = board.membership;
-    const auto young = board.now.mono - membership.startedAt < startupReads;
-    const auto early = young && !membership.listedSelf;
-    const Duration period = early ? startupHostPeriod : Duration(config::hostListPeriod);
+    const auto isStarting = board.now.mono - membership.startedAt < startupPeriod;
+    const auto isUnlisted = isStarting && !membership.listedSelf;
+    const Duration period = isUnlisted ? startupHostListPeriod : Duration(config::hostListPeriod);
     this->nextHostRead = board.now.mono + period;
     board.act(ReadHosts {});
 }
 
-auto ConfigController::platformAnswered(Blackboard &board) -> void
+auto ConfigController::notePlatformAnswer(Blackboard &board) -> void
 {
     board.config.notePlatform(board.now.mono);
     if (this->platformLost) {
@@ -305,9 +306,9 @@
     }
 }
 
-auto ConfigController::newestSeen(const Blackboard &board) const -> Revision
+auto ConfigController::newestKnown(const Blackboard &board) const -> Revision
 {
-    return std::max(this->refused, board.config.revision);
+    return std::max(this->newestRefused, board.config.revision);
 }
 
 } // namespace flamingograde
--- a/src/core/configuration/configcontroller.h
+++ b/src/core/configuration/configcontroller.h
@@ -1,4 +1,4 @@
-/// Keeps the newest table in force: from the platform, and from other hosts.
+/// Obtains the newest table from the platform and from other hosts.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -15,15 +15,15 @@
 class Blackboard;
 struct TableSource;
 
-/// Reads and watches the platform, spreads tables between hosts and puts them in force.
+/// Reads and watches the platform, exchanges tables with other hosts and puts them in force.
 ///
-/// Few hosts of a zone read the platform; the others hear of a revision by gossip and ask the host
-/// that has it. A revision never goes back.
+/// `config::readersPerZone` hosts of a zone read the platform; the others learn of a new revision
+/// by gossip and request its table from the host that has it. The revision in force never falls.
 /// @remarks Not thread safe. Throws nothing.
 class ConfigController
 {
 public:
-    /// Takes one event. Precondition: `board.now` is the time of it.
+    /// Processes one event. Precondition: `board.now` is the time of the event.
     auto handle(Blackboard &board, const Event &event) -> void;
 
 private:
@@ -33,35 +33,35 @@
     auto on(Blackboard &board, const PlatformFailed &failed) -> void;
     auto on(Blackboard &board, const PeerMessage &received) -> void;
     auto on(Blackboard &board, const Tick &tick) -> void;
-    auto noteGossip(Blackboard &board, HostId from, const Gossip &gossip) -> void;
+    auto handleGossip(Blackboard &board, HostId from, const Gossip &gossip) -> void;
     auto requestTable(Blackboard &board, HostId from) -> void;
-    /// Logs once that `digest` is that of another text under the revision in force.
+    /// Logs once per revision that another text has the revision in force: `digest` is its hash.
     auto compareDigest(Blackboard &board, std::uint64_t digest) -> void;
     auto comparePlacements(Blackboard &board, HostId from, const Gossip &gossip) -> void;
 
-    auto offer(Blackboard &board, const TableSource &source) -> void;
+    auto considerTable(Blackboard &board, const TableSource &source) -> void;
     auto refuseTable(Blackboard &board, Revision revision, const Findings &findings) -> void;
     auto readPlatform(Blackboard &board) -> void;
     auto readTable(Blackboard &board, Duration wait) -> void;
     auto readHosts(Blackboard &board) -> void;
-    auto platformAnswered(Blackboard &board) -> void;
-    [[nodiscard]] auto newestSeen(const Blackboard &board) const -> Revision;
+    auto notePlatformAnswer(Blackboard &board) -> void;
+    [[nodiscard]] auto newestKnown(const Blackboard &board) const -> Revision;
 
     bool started = false;
-    bool tableAsked = false;   ///< A read of the table is under way.
-    bool hostsAsked = false;   ///< A read of the host list is under way.
-    bool platformLost = false; ///< The last read failed.
-    MonoTime tableGivenUp;     ///< When the read under way counts as failed.
-    MonoTime hostsGivenUp;     ///< When the read under way counts as failed.
+    bool isTableReadPending = false; ///< A read of the table is in progress.
+    bool isHostReadPending = false;  ///< A read of the host list is in progress.
+    bool platformLost = false;       ///< Reads fail; cleared by the next answer of the platform.
+    MonoTime tableReadDeadline;      ///< Time at which the pending table read counts as failed.
+    MonoTime hostReadDeadline;       ///< Time at which the pending host list read counts as failed.
     MonoTime nextTableRead;
     MonoTime nextHostRead;
-    Duration backoff { 0 };        ///< Pause after the next failed or fruitless read of the table.
-    Revision refused;              ///< The newest table that had findings.
-    Revision conflicting;          ///< The last revision seen with two texts.
-    Revision olderLogged;          ///< The last older revision that was logged.
-    bool agreementTaken = false;   ///< Another host told since when all agree on the placements.
-    MonoTime nextPlacementRequest; ///< Placements are not asked for before this.
-    MonoTime nextPeerRequest;      ///< A table asked of a host is waited for until then.
+    Duration backoff { 0 };  ///< Pause before the next table read; doubles without a newer table.
+    Revision newestRefused;  ///< Newest revision of a table that was refused for its findings.
+    Revision conflictLogged; ///< Last revision that was logged as having two texts.
+    Revision olderLogged;    ///< Last older revision that was logged.
+    bool agreementTimeReceived = false; ///< Another host sent the time of the agreement.
+    MonoTime nextPlacementRequest;      ///< Earliest time of the next request for placements.
+    MonoTime nextTableRequest; ///< Earliest time of the next table request to another host.
 };
 
 } // namespace flamingograde
--- a/src/core/configuration/configstate.cpp
+++ b/src/core/configuration/configstate.cpp
@@ -1,4 +1,4 @@
-/// Questions on the table in force and its forerunners.
+/// Quarantined addresses and the time since the platform was last heard.
 #include "core/configuration/configstate.h"
 
 #include <algorithm>
@@ -13,12 +13,12 @@
 
 auto ConfigState::platformAge(MonoTime now) const -> Duration
 {
-    return this->platformKnown ? now - this->platformHeard : Duration::max();
+    return this->platformKnown ? now - this->platformLastHeard : Duration::max();
 }
 
 auto ConfigState::notePlatform(MonoTime at) -> void
 {
-    this->platformHeard = this->platformKnown ? std::max(this->platformHeard, at) : at;
+    this->platformLastHeard = this->platformKnown ? std::max(this->platformLastHeard, at) : at;
     this->platformKnown = true;
 }
 
--- a/src/core/configuration/configstate.h
+++ b/src/core/configuration/configstate.h
@@ -1,4 +1,4 @@
-/// The table in force.
+/// The table in force and the state of the platform.
 #pragma once
 
 #include "core/keys/placementhistory.h"
@@ -15,32 +15,33 @@
 
 namespace flamingograde {
 
-/// The table in force and what is known of the platform.
+/// The table in force, its key placements, and when the platform was last heard.
 /// @remarks Written by the configuration controller only. Not thread safe.
 class ConfigState
 {
 public:
-    /// @param clockBound largest difference between two clocks.
+    /// @param clockBound largest difference between the wall clocks of two parties.
     explicit ConfigState(Duration clockBound) : placements(clockBound) {}
 
     std::shared_ptr<const Table> table = std::make_shared<const Table>(); ///< Never null.
-    Revision revision;        ///< Of `table`; invalid before the first.
+    Revision revision;        ///< Revision of `table`; invalid before the first table.
     std::uint64_t digest = 0; ///< Hash of `text`.
     std::string text;         ///< The text of `table`.
-    WallTime published;       ///< When the platform published it.
+    WallTime published;       ///< When the platform published `table`.
 
-    /// Returns whether the address of `upstream` waits because it lately belonged to another
+    /// Returns whether `upstream` is not used yet because its address recently belonged to another
     /// service.
     [[nodiscard]] auto isQuarantined(UpstreamId upstream, MonoTime now) const -> bool;
 
-    PlacementHistory placements;                               ///< Of `table` and those before it.
-    std::unordered_map<UpstreamId, MonoTime> quarantinedUntil; ///< By upstream of `table`.
-    MonoTime platformHeard;     ///< When this host, or one it heard from, last heard the platform.
-    bool platformKnown = false; ///< Whether `platformHeard` was ever set.
+    PlacementHistory placements; ///< Key placements of `table` and of earlier tables.
+    std::unordered_map<UpstreamId, MonoTime> quarantinedUntil; ///< End of each quarantine.
+    MonoTime platformLastHeard; ///< When the platform last answered this host or its sources.
+    bool platformKnown = false; ///< Whether `platformLastHeard` has been set.
 
-    /// Returns how long ago the platform was last heard by this host or one it heard from.
+    /// Returns the time since the platform last answered this host or one that it heard from, or
+    /// `Duration::max()` if it never did.
     [[nodiscard]] auto platformAge(MonoTime now) const -> Duration;
-    /// Notes that the platform was heard at `at`.
+    /// Records that the platform answered at `at`; earlier times than the known one are ignored.
     auto notePlatform(MonoTime at) -> void;
 };
 
--- a/src/core/configuration/tableadoption.cpp
+++ b/src/core/configuration/tableadoption.cpp
@@ -1,4 +1,4 @@
-/// What changes in a host when another table comes into force.
+/// Updates listeners, quarantines and key placements when a new table comes into force.
 #include "core/configuration/tableadoption.h"
 
 #include "core/blackboard.h"
@@ -11,8 +11,9 @@
 
 namespace {
 
-/// Opens and closes the addresses in which two tables differ.
-auto moveListeners(Blackboard &board, const Table &before, const Table &after) -> void
+/// Opens the listeners of row addresses that are only in `after`, unless the listeners are closed
+/// for a stop, and closes those that are only in `before`.
+auto updateListeners(Blackboard &board, const Table &before, const Table &after) -> void
 {
     for (const auto &row : before.rows()) {
         if (after.rowAt(row.address) == nullptr) {
@@ -29,30 +30,30 @@
     }
 }
 
-/// Returns how long the upstreams of `table` wait that have an address of another service, now or
-/// since the last change.
-auto quarantineOf(Blackboard &board, const Table &before, const Table &after)
+/// Returns the end of the quarantine of each upstream of `after` whose address belonged to another
+/// service, either in `before` or in an earlier table whose quarantine has been kept.
+auto quarantineEnds(Blackboard &board, const Table &before, const Table &after)
         -> std::unordered_map<UpstreamId, MonoTime>
 {
-    std::map<Address, const Upstream *> owners;
+    std::map<Address, const Upstream *> previousUpstreams;
     for (const auto &upstream : before.upstreams()) {
-        owners[upstream.address] = &upstream;
+        previousUpstreams[upstream.address] = &upstream;
     }
     std::unordered_map<UpstreamId, MonoTime> until;
     for (const auto &upstream : after.upstreams()) {
-        const auto old = owners.find(upstream.address);
-        if (old == owners.end()) {
+        const auto found = previousUpstreams.find(upstream.address);
+        if (found == previousUpstreams.end()) {
             continue;
         }
-        const auto &owner = *old->second;
-        const auto waiting = board.config.quarantinedUntil.find(owner.id);
-        if (owner.service != upstream.service) {
+        const auto &previous = *found->second;
+        const auto earlier = board.config.quarantinedUntil.find(previous.id);
+        if (previous.service != upstream.service) {
             until[upstream.id] = board.now.mono + config::addressQuarantine;
             board.log(LogEvent::AddressQuarantined, "address=" + upstream.address.toString()
-                                                            + " from=" + owner.serviceName
+                                                            + " from=" + previous.serviceName
                                                             + " to=" + upstream.serviceName);
-        } else if (waiting != board.config.quarantinedUntil.end()) {
-            until[upstream.id] = waiting->second;
+        } else if (earlier != board.config.quarantinedUntil.end()) {
+            until[upstream.id] = earlier->second;
         }
     }
     return until;
@@ -64,7 +65,7 @@
 {
     const auto before = board.config.table;
     const auto after = std::make_shared<const Table>(std::move(table));
-    board.config.quarantinedUntil = quarantineOf(board, *before, *after);
+    board.config.quarantinedUntil = quarantineEnds(board, *before, *after);
     board.config.table = after;
     board.config.revision = source.revision;
     board.config.text = source.text;
@@ -74,7 +75,7 @@
             { { source.revision, source.published, activeZones(*after), {} } }, board.now.wall);
     board.stats.revision = source.revision.number;
     ++board.stats.tablesAccepted;
-    moveListeners(board, *before, *after);
+    updateListeners(board, *before, *after);
     board.log(LogEvent::TableAccepted, "revision=" + std::to_string(source.revision.number));
 }
 
--- a/src/core/configuration/tableadoption.h
+++ b/src/core/configuration/tableadoption.h
@@ -11,7 +11,7 @@
 
 class Blackboard;
 
-/// What a table was made of.
+/// The text from which a table was parsed, with its revision.
 struct TableSource
 {
     Revision revision;
@@ -19,9 +19,9 @@
     WallTime published; ///< When the platform published it.
 };
 
-/// Makes `table` the one in force: opens and closes the rows' addresses, quarantines addresses that
-/// change their service, and adds the table's placement of keys.
-/// Precondition: the revision is above that in force.
+/// Puts `table` in force: opens and closes listeners, quarantines addresses that moved to another
+/// service, and adds the table's placement of keys.
+/// Precondition: the revision of `source` is above the one in force.
 auto adoptTable(Blackboard &board, Table table, const TableSource &source) -> void;
 
 } // namespace flamingograde
--- a/src/core/configuration/tablespread.cpp
+++ b/src/core/configuration/tablespread.cpp
@@ -1,4 +1,4 @@
-/// Who has the table in force, and who is to be told of it.
+/// Announces new tables to other hosts and checks whether all hosts place keys alike.
 #include "core/configuration/tablespread.h"
 
 #include "core/blackboard.h"
@@ -11,17 +11,18 @@
 
 namespace {
 
-constexpr std::size_t announcedMax = 16; ///< Hosts told at once of a new table.
+constexpr std::size_t announcementsMax = 16; ///< Most hosts to which one new table is announced.
 
-/// Returns whether a dead host's process has surely ended: its machine refuses connections, while
-/// other hosts of its zone are reached.
-auto isGone(const Blackboard &board, const MemberRecord &record) -> bool
+/// Returns whether a dead host's process has certainly ended: its machine refuses connections,
+/// while other hosts of its zone are reachable.
+auto hasEnded(const Blackboard &board, const MemberRecord &record) -> bool
 {
     return record.member.state == MemberState::Dead && record.refusals >= config::refusalsOfDead
            && !board.membership.voters(record.member.zone).empty();
 }
 
-/// Returns whether this host would hear from a host that is at work.
+/// Returns whether this host would receive messages from the recorded host if that one were
+/// running.
 auto isHeardDirectly(const Blackboard &board, const MemberRecord &record) -> bool
 {
     return board.membership.records().size() <= config::flatMembershipHosts || record.connected
@@ -32,18 +33,18 @@
 
 auto announceTable(Blackboard &board) -> void
 {
-    std::size_t told = 0;
+    std::size_t announced = 0;
     for (auto &[id, record] : board.membership.records()) {
-        if (told == announcedMax) {
+        if (announced == announcementsMax) {
             return;
         }
         if (record.connected && record.revision < board.config.revision) {
-            told += sendPeer(board, id, Ping { 0, makeGossip(board, id) }) ? 1 : 0;
+            announced += sendPeer(board, id, Ping { 0, makeGossip(board, id) }) ? 1 : 0;
         }
     }
 }
 
-auto reviewPlacements(Blackboard &board) -> void
+auto updatePlacementAgreement(Blackboard &board) -> void
 {
     auto &placements = board.config.placements;
     const auto now = board.now.mono;
@@ -53,12 +54,12 @@
         return;
     }
     const auto &records = board.membership.records();
-    const auto agrees = [&](const auto &entry) {
+    const auto hasSamePlacements = [&](const auto &entry) {
         const auto &record = entry.second;
         return entry.first == board.membership.self || record.placements == placements.digest()
-               || isGone(board, record) || !isHeardDirectly(board, record);
+               || hasEnded(board, record) || !isHeardDirectly(board, record);
     };
-    if (std::all_of(records.begin(), records.end(), agrees)) {
+    if (std::all_of(records.begin(), records.end(), hasSamePlacements)) {
         placements.agree(board.now.wall);
     }
 }
--- a/src/core/configuration/tablespread.h
+++ b/src/core/configuration/tablespread.h
@@ -1,14 +1,15 @@
-/// How far the table in force has come in the fleet.
+/// Announcement of new tables and agreement of the fleet on the placement of keys.
 #pragma once
 
 namespace flamingograde {
 
 class Blackboard;
 
-/// Tells hosts that have an older table of the one in force.
+/// Announces the table in force to connected hosts that have an older one, up to a limit.
 auto announceTable(Blackboard &board) -> void;
 
-/// Notes whether all hosts place keys as this one. A silent one may go on with an older table.
-auto reviewPlacements(Blackboard &board) -> void;
+/// Expires old placements and, when all hosts place keys as this one does, records the agreement.
+/// A silent host prevents agreement unless its process has ended, as it may use an older table.
+auto updatePlacementAgreement(Blackboard &board) -> void;
 
 } // namespace flamingograde
--- a/src/core/controllers.cpp
+++ b/src/core/controllers.cpp
@@ -1,4 +1,4 @@
-/// Runs the controllers.
+/// Creates the controllers that a host needs and runs them on each event.
 #include "core/controllers.h"
 
 #include "core/blackboard.h"
@@ -18,19 +18,19 @@
 auto Controllers::run(Blackboard &board, const Event &event) -> void
 {
     if (this->requests) {
-        this->requests->configure(board, event);
+        this->requests->handleConfiguration(board, event);
     }
     std::visit([&](auto &membership) { membership.handle(board, event); }, this->membership);
     if (this->directory) {
         this->directory->handle(board, event);
     }
     if (this->requests) {
-        this->requests->claim(board, event);
+        this->requests->handleTenure(board, event);
     }
     this->stop.handle(board, event);
     this->packet.handle(board, event);
     if (this->requests) {
-        this->requests->serve(board, event);
+        this->requests->handleRequests(board, event);
     }
 }
 
--- a/src/core/controllers.h
+++ b/src/core/controllers.h
@@ -20,8 +20,8 @@
 
 /// Owns the controllers. Each reads and writes the blackboard; none calls another.
 ///
-/// A host that reads a directory has no HTTP rows: it has no controllers for them, and the
-/// membership that needs no agreement.
+/// A host that reads a directory has no HTTP rows: it runs no request controllers, and it uses
+/// `OverlayController` for membership, which needs no agreement between hosts.
 /// @remarks Not thread safe.
 class Controllers
 {
@@ -29,7 +29,8 @@
     /// Precondition: none.
     explicit Controllers(const Init &init);
 
-    /// Has each controller take the event, then settles what they handed on. Precondition: none.
+    /// Passes the event to each controller; exchanges that one passes on to another are processed
+    /// within the call. Precondition: none.
     auto run(Blackboard &board, const Event &event) -> void;
 
 private:
--- a/src/core/dump.cpp
+++ b/src/core/dump.cpp
@@ -45,7 +45,7 @@
              { "closed", board.stop.closed } };
 }
 
-/// Returns how long ago the platform was last heard, or null for never.
+/// Returns the time since the platform last answered, or null if it never did.
 auto platformAgeJson(const Blackboard &board) -> json
 {
     if (!board.config.platformKnown) {
@@ -82,7 +82,7 @@
     return list;
 }
 
-/// Returns the cells of the table with their homes and what this host does in them.
+/// Returns the cells of the table with their home hosts and their load at this host.
 auto cellsJson(const Blackboard &board) -> json
 {
     auto list = json::array();
--- a/src/core/explain.cpp
+++ b/src/core/explain.cpp
@@ -1,4 +1,4 @@
-/// Explains placements by the same look-ups that make them.
+/// Explains placements with the look-ups that also place requests.
 #include "core/explain.h"
 
 #include "core/blackboard.h"
@@ -23,7 +23,7 @@
     return upstream == nullptr ? hexOf(id) : upstream->name;
 }
 
-auto faultName(TokenFault fault) -> const char *
+auto tokenFaultName(TokenFault fault) -> const char *
 {
     switch (fault) {
     case TokenFault::Malformed:
@@ -36,20 +36,24 @@
     return "forged";
 }
 
-/// Explains a feed without a token; its flow's id is drawn when it arrives.
+/// Lists the candidates of a feed without a token; which of them gets the feed is not known, as its
+/// flow id is drawn at random when it arrives.
 auto explainNewFeed(const Blackboard &board, const Row &row) -> json
 {
-    auto open = json::array();
+    auto candidates = json::array();
     for (const auto index : board.table().upstreamsOf(row.service)) {
         const auto &upstream = board.table().upstreams()[index];
         if (isOpenFor(board, upstream.id, row.service)) {
-            open.push_back({ { "upstream", upstream.name },
-                             { "weight", upstream.connections },
-                             { "feeds_here", board.feeds.countAt(upstream.id) } });
+            candidates.push_back({ { "upstream", upstream.name },
+                                   { "weight", upstream.connections },
+                                   { "feeds_here", board.feeds.countAt(upstream.id) } });
         }
     }
-    return { { "why", "a new flow is hashed over these upstreams in proportion to their weight" },
-             { "candidates", open } };
+    return {
+        { "why",
+          "a new feed's flow id is hashed over these upstreams in proportion to their weight" },
+        { "candidates", candidates }
+    };
 }
 
 auto explainKey(const Blackboard &board, const Row &row, const std::string &key) -> json
@@ -84,14 +88,14 @@
 auto explainFlow(const Blackboard &board, const Row &row, const FlowToken &token) -> json
 {
     const auto isFeed = row.kind == RequestKind::Feed;
-    const auto stays = isFeed ? board.table().upstream(token.upstream) != nullptr
-                              : isOpenFor(board, token.upstream, row.service);
-    if (stays) {
-        return { { "why", "the token binds the flow" },
+    const auto keepsUpstream = isFeed ? board.table().upstream(token.upstream) != nullptr
+                                      : isOpenFor(board, token.upstream, row.service);
+    if (keepsUpstream) {
+        return { { "why", "the flow token names this upstream" },
                  { "upstream", upstreamName(board, token.upstream) } };
     }
     if (isFeed) {
-        return { { "why", "the token's upstream has left the table" },
+        return { { "why", "the flow token's upstream has left the table" },
                  { "refused", "stale-token" } };
     }
     return explainByLoad(board, row);
@@ -103,10 +107,11 @@
     if (!token.empty()) {
         const auto flow = verifyToken(token, board.table().tokenKeys());
         if (!flow) {
-            return { { "why", faultName(flow.error()) }, { "refused", "bad-token" } };
+            return { { "why", tokenFaultName(flow.error()) }, { "refused", "bad-token" } };
         }
         if (flow->service != row.service) {
-            return { { "why", "token of another service" }, { "refused", "bad-token" } };
+            return { { "why", "the flow token belongs to another service" },
+                     { "refused", "bad-token" } };
         }
         if (row.idempotent) {
             return explainFlow(board, row, *flow);
--- a/src/core/explain.h
+++ b/src/core/explain.h
@@ -1,4 +1,4 @@
-/// Where a request would go, and why.
+/// Explains where a request would be placed, for operators.
 #pragma once
 
 #include <flamingograde/address.h>
--- a/src/core/hexid.h
+++ b/src/core/hexid.h
@@ -1,4 +1,4 @@
-/// Ids as operators read them.
+/// Formats ids for logs and dumps.
 #pragma once
 
 #include <flamingograde/strongid.h>
@@ -9,7 +9,7 @@
 
 namespace flamingograde {
 
-/// Returns the 16 hexadecimal digits of an id.
+/// Returns an id as 16 hexadecimal digits.
 /// @remarks Thread safe.
 template<typename Tag>
 [[nodiscard]] auto hexOf(StrongId<Tag> id) -> std::string
--- a/src/core/milliseconds.h
+++ b/src/core/milliseconds.h
@@ -1,4 +1,4 @@
-/// Durations as logs and dumps tell them.
+/// Converts durations for logs and dumps.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -8,7 +8,7 @@
 
 namespace flamingograde {
 
-/// Returns whole milliseconds. Precondition: none. Thread safe.
+/// Returns `duration` in whole milliseconds, rounded towards 0. Precondition: none. Thread safe.
 [[nodiscard]] inline auto milliseconds(Duration duration) -> std::int64_t
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
--- a/src/core/overloaded.h
+++ b/src/core/overloaded.h
@@ -1,9 +1,9 @@
-/// A visitor made of lambdas.
+/// Visitor that combines several lambdas.
 #pragma once
 
 namespace flamingograde {
 
-/// Joins lambdas into one visitor for `std::visit`.
+/// Combines lambdas into one visitor for `std::visit`.
 template<typename... Visitors>
 struct Overloaded : Visitors...
 {
--- a/src/core/rendezvous.cpp
+++ b/src/core/rendezvous.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// Bits of the hash that a double holds exactly together with a half.
+/// Bits of the hash that are used: a double represents them plus 0.5 exactly.
 constexpr int hashBits = 52;
 
-/// Returns a number above 0 and below 1 made of the hash's upper bits.
+/// Maps the upper bits of `hash` to a number above 0 and below 1.
 auto unitInterval(std::uint64_t hash) -> double
 {
     const auto top = static_cast<double>(hash >> (64 - hashBits));
     return (top + 0.5) * 0x1p-52;
 }
 
-/// Returns whether a score and id are before another's in the order of preference.
+/// Returns whether node A is preferred to node B: a higher score wins, and the lower id on a tie.
 auto isBefore(double scoreA, std::uint64_t idA, double scoreB, std::uint64_t idB) -> bool
 {
     return scoreA != scoreB ? scoreA > scoreB : idA < idB;
--- a/src/core/requestcontrollers.cpp
+++ b/src/core/requestcontrollers.cpp
@@ -1,4 +1,4 @@
-/// Runs the controllers of HTTP rows.
+/// Runs the controllers of HTTP rows in their order.
 #include "core/requestcontrollers.h"
 
 #include "core/blackboard.h"
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Most rounds of settling in one event; what is left then waits for the next event.
-constexpr int settleRounds = 8;
+/// Rounds in one event in which exchanges are passed between controllers; those that are left then
+/// wait for the next event.
+constexpr int settleRoundsMax = 8;
 
 auto isSettled(const Blackboard &board) -> bool
 {
@@ -17,17 +18,17 @@
 
 } // namespace
 
-auto RequestControllers::configure(Blackboard &board, const Event &event) -> void
+auto RequestControllers::handleConfiguration(Blackboard &board, const Event &event) -> void
 {
     this->config.handle(board, event);
 }
 
-auto RequestControllers::claim(Blackboard &board, const Event &event) -> void
+auto RequestControllers::handleTenure(Blackboard &board, const Event &event) -> void
 {
     this->tenure.handle(board, event);
 }
 
-auto RequestControllers::serve(Blackboard &board, const Event &event) -> void
+auto RequestControllers::handleRequests(Blackboard &board, const Event &event) -> void
 {
     this->upstream.handle(board, event);
     this->outcome.handle(board, event);
@@ -36,12 +37,12 @@
     this->steering.handle(board, event);
     this->key.handle(board, event);
     this->admission.handle(board, event);
-    this->settle(board);
+    this->settleAll(board);
 }
 
-auto RequestControllers::settle(Blackboard &board) -> void
+auto RequestControllers::settleAll(Blackboard &board) -> void
 {
-    for (int round = 0; round < settleRounds; ++round) {
+    for (int round = 0; round < settleRoundsMax; ++round) {
         this->steering.settle(board);
         this->key.settle(board);
         this->admission.settle(board);
--- a/src/core/requestcontrollers.h
+++ b/src/core/requestcontrollers.h
@@ -17,7 +17,7 @@
 
 class Blackboard;
 
-/// What serves the rows of a table over HTTP.
+/// The controllers that serve the rows of a table over HTTP.
 /// @remarks Not thread safe.
 class RequestControllers
 {
@@ -25,16 +25,16 @@
     /// Precondition: none.
     explicit RequestControllers(Policy policy) : steering(policy) {}
 
-    /// Takes the event before the membership does. Precondition: none.
-    auto configure(Blackboard &board, const Event &event) -> void;
-    /// Takes the event after the membership did. Precondition: none.
-    auto claim(Blackboard &board, const Event &event) -> void;
-    /// Takes the event after the stop did, and settles what the controllers handed on.
-    /// Precondition: none.
-    auto serve(Blackboard &board, const Event &event) -> void;
+    /// Runs the configuration controller; called before the membership. Precondition: none.
+    auto handleConfiguration(Blackboard &board, const Event &event) -> void;
+    /// Runs the tenure controller; called after the membership. Precondition: none.
+    auto handleTenure(Blackboard &board, const Event &event) -> void;
+    /// Runs all other controllers and processes the exchanges that they pass to each other; called
+    /// after the stop controller. Precondition: none.
+    auto handleRequests(Blackboard &board, const Event &event) -> void;
 
 private:
-    auto settle(Blackboard &board) -> void;
+    auto settleAll(Blackboard &board) -> void;
 
     ConfigController config;
     TenureController tenure;
--- a/src/core/strongid.cpp
+++ b/src/core/strongid.cpp
@@ -1,4 +1,4 @@
-/// Hashing of names into ids.
+/// Derives ids from names by hashing.
 #include <flamingograde/ids.h>
 #include <flamingograde/strongid.h>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Ids reserve 0 for "invalid".
+/// Replaces 0 by 1, as an id of 0 is invalid.
 constexpr auto nonZero(std::uint64_t hash) -> std::uint64_t
 {
     return hash == 0 ? 1 : hash;
--- a/src/emulator/emulatedhost.cpp
+++ b/src/emulator/emulatedhost.cpp
@@ -134,7 +134,7 @@
 
 auto EmulatedHost::holdsPackets() const -> bool
 {
-    const auto young = this->clock.now() - this->begunAt < config::packetsHeldMax;
+    const auto young = this->clock.now() - this->begunAt < config::packetHoldTimeMax;
     return this->state == HostLife::Frozen || (young && !this->library->isServing());
 }
 
--- a/src/net/daemon.cpp
+++ b/src/net/daemon.cpp
@@ -144,7 +144,7 @@
     if (this->directory == nullptr) {
         return;
     }
-    const auto end = Loop::now().mono + config::directoryFirst;
+    const auto end = Loop::now().mono + config::directoryStartupWait;
     while (!this->balancer->isServing() && !this->stopping && Loop::now().mono < end) {
         this->turn();
     }
--- a/src/net/packetplane.cpp
+++ b/src/net/packetplane.cpp
@@ -71,7 +71,7 @@
         return;
     }
     // Packets that come while the directory is being read wait in the system's buffer.
-    if (this->isReady() || now - this->openedAt >= config::packetsHeldMax) {
+    if (this->isReady() || now - this->openedAt >= config::packetHoldTimeMax) {
         this->started = true;
         this->socket->start();
     }
--- a/tests/unit/configtest.cpp
+++ b/tests/unit/configtest.cpp
@@ -1,4 +1,4 @@
-/// One table everywhere, and never an older one.
+/// Tests that all hosts get the newest table and never return to an older one.
 #include "peerfleet.h"
 
 #include "core/keys/keyplacement.h"
@@ -11,8 +11,8 @@
 
 using namespace std::chrono_literals;
 
-/// Starts two hosts in each zone and waits until all have revision 1.
-auto startFleet(PeerFleet &fleet) -> void
+/// Starts two hosts in each zone, waits until all hosts have revision 1 and homes, and 3 s more.
+auto startTwoHostsPerZone(PeerFleet &fleet) -> void
 {
     fleet.publish(1, "first");
     for (const auto &zone : fleet.zones) {
@@ -25,16 +25,17 @@
 
 } // namespace
 
-TEST_CASE("a table comes to all hosts at once, by few readers", "[fleet]")
+TEST_CASE("a new table reaches all hosts within a second through two readers per zone", "[fleet]")
 {
     PeerFleet fleet(1);
     for (const auto *name : { "a3", "a4", "a5", "a6" }) {
         fleet.add(name, "a");
     }
-    startFleet(fleet);
+    startTwoHostsPerZone(fleet);
     const auto before = fleet.platformCalls;
     fleet.run(60s);
-    // Two readers in each of three zones: a host list each 2 s, a watch each 1.5 s, one call over.
+    // Two readers in each of three zones: a host list every 2 s, a watch every 1.5 s, one call to
+    // spare.
     CHECK(fleet.platformCalls - before <= 426U);
     fleet.publish(2, "second");
     REQUIRE(fleet.runUntil([&] { return fleet.haveRevision(2); }, 1s));
@@ -42,10 +43,10 @@
     CHECK(fleet.board("a6").table().rows().front().name == "second");
 }
 
-TEST_CASE("an older table never comes back", "[fleet]")
+TEST_CASE("an older table from the platform never replaces a newer one", "[fleet]")
 {
     PeerFleet fleet(2);
-    startFleet(fleet);
+    startTwoHostsPerZone(fleet);
     const auto old = fleet.board("a1").config.text;
     fleet.publish(2, "second");
     fleet.run(1s);
@@ -55,7 +56,7 @@
     }
     fleet.run(20s);
     CHECK(fleet.haveRevision(2));
-    // Each of six readers: twice a second at most.
+    // Six readers, each with at most two calls per second.
     CHECK(fleet.platformCalls - before <= 240U);
     fleet.kill("a1");
     fleet.start("a1");
@@ -65,11 +66,11 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("of two texts with one revision the first one stays, and the next goes before both",
+TEST_CASE("a host keeps its first text of a revision until a higher revision replaces it",
           "[fleet]")
 {
     PeerFleet fleet(3);
-    startFleet(fleet);
+    startTwoHostsPerZone(fleet);
     const auto text = fleet.board("a1").config.text;
     fleet.serve("b1", 2, text + "# another operator\n");
     fleet.publish(2, "second");
@@ -85,10 +86,10 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("without the platform a table still comes from other hosts", "[fleet]")
+TEST_CASE("hosts that cannot reach the platform get the table from other hosts", "[fleet]")
 {
     PeerFleet fleet(4);
-    startFleet(fleet);
+    startTwoHostsPerZone(fleet);
     fleet.platformDown = { "a1", "a2", "b1" };
     fleet.publish(2, "second");
     CHECK(fleet.runUntil([&] { return fleet.haveRevision(2); }, 1s));
@@ -97,7 +98,7 @@
     fleet.platformDown.insert("c3");
     const auto before = fleet.platformCalls;
     fleet.run(30s);
-    // Each of six hosts: twice a second at most.
+    // Six hosts, each with at most two calls per second.
     CHECK(fleet.platformCalls - before <= 360U);
     fleet.add("c3", "c", true);
     CHECK(fleet.runUntil([&] { return fleet.haveRevision(2); }, 2s));
@@ -105,17 +106,19 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("a faulty table is told once, not taken and not spread", "[fleet]")
+TEST_CASE(
+        "a table with faults is refused at most once by a host and the previous one stays in force",
+        "[fleet]")
 {
     PeerFleet fleet(5);
-    startFleet(fleet);
+    startTwoHostsPerZone(fleet);
     const auto before = fleet.platformCalls;
     for (const auto &name : fleet.names()) {
         fleet.serve(name, 2, "[[row]]\n");
     }
     fleet.run(20s);
     CHECK(fleet.haveRevision(1));
-    // Each of six readers: a host list each 2 s, a watch each 1.5 s and two more reads.
+    // Six readers, each with a host list every 2 s, a watch every 1.5 s and two more reads.
     CHECK(fleet.platformCalls - before <= 156U);
     CHECK(fleet.board("a1").stats.tablesRefused <= 1);
     for (const auto &name : fleet.names()) {
@@ -126,7 +129,7 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("hosts find each other although the list lags", "[fleet]")
+TEST_CASE("hosts discover each other through seeds while the host list is out of date", "[fleet]")
 {
     PeerFleet fleet(6);
     fleet.publish(1, "first");
@@ -142,59 +145,61 @@
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("a key that a table moves waits until the old table is nowhere in force", "[fleet]")
+TEST_CASE(
+        "the placement of a key moved by a new table is uncertain until no host uses the old table",
+        "[fleet]")
 {
     PeerFleet fleet(7);
-    startFleet(fleet);
+    startTwoHostsPerZone(fleet);
     const auto service = ServiceId::ofName("pack");
     const auto &config = fleet.board("c1").config;
     const auto before = config.table;
-    // Of a key that is made when the table of the last edit places keys.
-    const auto since = [&](const std::string &host, const std::string &key) {
+    // Queries a key that is made once the table of the last edit applies to new keys.
+    const auto placedSince = [&](const std::string &host, const std::string &key) {
         const auto &board = fleet.board(host);
         const auto birth = board.now.wall + config::placementDelay;
         return board.config.placements.find({ service, key, birth, board.now.wall }).since;
     };
-    const auto isKnown = [&](const std::string &host, const std::string &key) {
-        return since(host, key) < fleet.board(host).now.wall;
+    const auto isPlacementCertain = [&](const std::string &host, const std::string &key) {
+        return placedSince(host, key) < fleet.board(host).now.wall;
     };
-    CHECK(isKnown("c1", "k"));
+    CHECK(isPlacementCertain("c1", "k"));
     fleet.fault({ "a1", "a2" }, { "b1", "b2", "c1", "c2" }, LinkFault::Silent);
     fleet.platformDown = { "a1", "a2" };
     fleet.run(5s);
     fleet.zones.erase("b");
     fleet.publish(2, "second");
     fleet.run(5s);
-    std::string moved = "k0";
-    std::string stayed = "k0";
-    const auto isMoved = [&](const std::string &key) {
+    std::string movedKey = "k0";
+    std::string unmovedKey = "k0";
+    const auto isMovedByEdit = [&](const std::string &key) {
         return zoneOfKey(*before, service, key) != zoneOfKey(*config.table, service, key);
     };
-    for (int i = 0; !isMoved(moved) || isMoved(stayed); ++i) {
-        (isMoved("k" + std::to_string(i)) ? moved : stayed) = "k" + std::to_string(i);
+    for (int i = 0; !isMovedByEdit(movedKey) || isMovedByEdit(unmovedKey); ++i) {
+        (isMovedByEdit("k" + std::to_string(i)) ? movedKey : unmovedKey) = "k" + std::to_string(i);
     }
-    CHECK(since("c1", moved) == PlacementHistory::never);
-    CHECK(isKnown("c1", stayed));
+    CHECK(placedSince("c1", movedKey) == PlacementHistory::never);
+    CHECK(isPlacementCertain("c1", unmovedKey));
     fleet.kill("c2");
     fleet.start("c2");
     fleet.run(5s);
-    // A host that starts knows by the others which keys the edit moved.
-    CHECK(since("c2", moved) == PlacementHistory::never);
-    CHECK(isKnown("c2", stayed));
-    CHECK(since("c2", stayed) == since("c1", stayed));
+    // A restarted host learns from other hosts which keys the edit moved.
+    CHECK(placedSince("c2", movedKey) == PlacementHistory::never);
+    CHECK(isPlacementCertain("c2", unmovedKey));
+    CHECK(placedSince("c2", unmovedKey) == placedSince("c1", unmovedKey));
     fleet.heal();
     fleet.platformDown.clear();
     fleet.run(5s);
-    CHECK(isKnown("c1", moved));
-    CHECK(since("c1", moved) > since("c1", stayed));
-    CHECK(isKnown("c2", moved));
+    CHECK(isPlacementCertain("c1", movedKey));
+    CHECK(placedSince("c1", movedKey) > placedSince("c1", unmovedKey));
+    CHECK(isPlacementCertain("c2", movedKey));
     CHECK(fleet.faults.empty());
 }
 
-TEST_CASE("an address that changes its service rests", "[fleet]")
+TEST_CASE("an address that moves to another service is quarantined for 5 s", "[fleet]")
 {
     PeerFleet fleet(8);
-    startFleet(fleet);
+    startTwoHostsPerZone(fleet);
     auto text = fleet.board("a1").config.text;
     const auto at = text.find("service = \"pack\"\nzone = \"b\"");
     REQUIRE(at != std::string::npos);
@@ -202,14 +207,14 @@
     fleet.serve("a1", 2, text);
     fleet.run(1s);
     auto &board = fleet.board("c1");
-    const auto moved = UpstreamId::ofName("up-b");
-    CHECK(board.config.isQuarantined(moved, board.now.mono));
+    const auto movedUpstream = UpstreamId::ofName("up-b");
+    CHECK(board.config.isQuarantined(movedUpstream, board.now.mono));
     CHECK_FALSE(board.config.isQuarantined(UpstreamId::ofName("up-a"), board.now.mono));
     fleet.serve("a1", 3, text + "# again\n");
     fleet.run(3s);
-    CHECK(board.config.isQuarantined(moved, board.now.mono));
+    CHECK(board.config.isQuarantined(movedUpstream, board.now.mono));
     fleet.run(2s);
-    CHECK_FALSE(board.config.isQuarantined(moved, board.now.mono));
+    CHECK_FALSE(board.config.isQuarantined(movedUpstream, board.now.mono));
 }
 
 } // namespace flamingograde
--- a/tests/unit/dumptest.cpp
+++ b/tests/unit/dumptest.cpp
@@ -1,4 +1,4 @@
-/// What operators see: the dump and the explanations.
+/// Tests of the state dump and of the explanations of placements.
 #include "sampletable.h"
 #include "virtualfleet.h"
 
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-TEST_CASE("the dump tells what is under way")
+TEST_CASE("the dump lists members, cells, upstreams, requests in progress and open feeds")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "a2", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
@@ -33,7 +33,7 @@
     CHECK(dump.at("stats").at("callers_arrived") == 2);
 }
 
-TEST_CASE("an explanation says where a request goes and changes nothing")
+TEST_CASE("an explanation predicts the placement of a request and does not change the state")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
--- a/tests/unit/pathtest.cpp
+++ b/tests/unit/pathtest.cpp
@@ -1,4 +1,4 @@
-/// The whole path of requests, feeds and uploads through one and several hosts.
+/// Tests of requests, feeds and uploads from the caller to the upstream, through one or more hosts.
 #include "sampletable.h"
 #include "virtualfleet.h"
 
@@ -7,7 +7,7 @@
 using namespace flamingograde;
 using namespace std::chrono_literals;
 
-TEST_CASE("a request goes through its own home")
+TEST_CASE("a single host answers requests and uploads of all its rows")
 {
     VirtualFleet fleet({ { "a1", "a" } }, sampleTable());
     fleet.settle();
@@ -19,7 +19,7 @@
     CHECK(fleet.runs.size() == 3);
 }
 
-TEST_CASE("a request goes through another host's home, with and without a key")
+TEST_CASE("requests with and without a key are relayed to the home host and answered")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "a2", "a" }, { "b1", "b" }, { "b2", "b" } },
                        sampleTable());
@@ -37,7 +37,7 @@
     CHECK(fleet.host(0).stats().relayed + fleet.host(1).stats().relayed > 0);
 }
 
-TEST_CASE("each baseline answers requests")
+TEST_CASE("each baseline placement policy answers requests with and without a key")
 {
     for (const auto policy : { Policy::UpstreamHome, Policy::LocalLeastLoaded, Policy::TwoChoices,
                                Policy::StaticHash }) {
@@ -56,7 +56,7 @@
     }
 }
 
-TEST_CASE("a feed opens at an upstream of its service and gets a token")
+TEST_CASE("a feed is opened at an upstream of its service and its caller gets a token")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
