--- a/src/table/address.cpp
+++ b/src/table/address.cpp
@@ -1,4 +1,4 @@
-/// Reads and writes addresses.
+/// Parses and formats IPv4 addresses with a port.
 #include <flamingograde/address.h>
 
 #include <arpa/inet.h>
@@ -24,11 +24,11 @@
 
 auto parseIp(std::string_view text) -> std::optional<std::uint32_t>
 {
-    in_addr number {};
-    if (inet_pton(AF_INET, std::string(text).c_str(), &number) != 1) {
+    in_addr binary {};
+    if (inet_pton(AF_INET, std::string(text).c_str(), &binary) != 1) {
         return std::nullopt;
     }
-    return ntohl(number.s_addr);
+    return ntohl(binary.s_addr);
 }
 
 } // namespace
@@ -41,14 +41,15 @@
     }
     const auto ip = parseIp(text.substr(0, colon));
     if (!ip) {
-        return tl::unexpected(std::string("has no IPv4 number before its port"));
+        return tl::unexpected(std::string("has no IPv4 address before its port"));
     }
     const auto port = parsePort(text.substr(colon + 1));
     if (!port) {
         return tl::unexpected(std::string("has no port from 0 to 65535"));
     }
     if (*ip == 0) {
-        return tl::unexpected(std::string("has the IPv4 number 0.0.0.0, which names no host"));
+        return tl::unexpected(
+                std::string("has the IPv4 address 0.0.0.0, which identifies no host"));
     }
     return Address { *ip, *port };
 }
@@ -56,8 +57,8 @@
 auto Address::ipText() const -> std::string
 {
     std::array<char, INET_ADDRSTRLEN> text {};
-    const in_addr number { htonl(this->ip) };
-    inet_ntop(AF_INET, &number, text.data(), text.size());
+    const in_addr binary { htonl(this->ip) };
+    inet_ntop(AF_INET, &binary, text.data(), text.size());
     return text.data();
 }
 
--- a/src/table/changelist.cpp
+++ b/src/table/changelist.cpp
@@ -1,4 +1,4 @@
-/// Collects the changes between two tables.
+/// Collects the changes between two routing tables while they are compared.
 #include "table/changelist.h"
 
 namespace flamingograde {
--- a/src/table/changelist.h
+++ b/src/table/changelist.h
@@ -1,4 +1,4 @@
-/// Collects the changes between two tables.
+/// Collects the changes between two routing tables while they are compared.
 #pragma once
 
 #include <flamingograde/tablediff.h>
@@ -10,25 +10,27 @@
 
 namespace flamingograde {
 
-/// The changes between two tables while they are compared.
+/// The list that the comparison of two tables fills.
 /// @remarks Not thread safe.
 class ChangeList
 {
 public:
     /// Adds a change.
-    /// @param what what changes.
-    /// @param risk what is dangerous about it; empty for nothing.
+    /// @param what the change, in words.
+    /// @param risk the danger of the change and how to avoid it; empty for a safe change.
     /// Precondition: none.
     auto add(std::string what, std::string risk = {}) -> void;
 
-    /// Adds a change of one field if the values differ.
-    /// @param subject whose field it is, such as `row "papers"`.
-    /// @param risk what is dangerous about it; empty for nothing.
+    /// Adds a change of one field if its values differ.
+    /// @param subject the entry that has the field, such as `row "papers"`.
+    /// @param before the old value.
+    /// @param after the new value.
+    /// @param risk the danger of the change and how to avoid it; empty for a safe change.
     /// Precondition: none.
     auto compare(const std::string &subject, std::string_view field, const std::string &before,
                  const std::string &after, std::string risk = {}) -> void;
 
-    /// Returns the changes and forgets them. Precondition: none.
+    /// Returns the changes and clears the list. Precondition: none.
     [[nodiscard]] auto take() -> std::vector<TableChange>
     {
         return std::exchange(this->changes, {});
--- a/src/table/entries.cpp
+++ b/src/table/entries.cpp
@@ -1,4 +1,4 @@
-/// Goes through the entries of a section that is a list.
+/// Iterates over the entries of array sections and reports unknown sections.
 #include "table/entries.h"
 
 #include "table/nearest.h"
@@ -9,48 +9,48 @@
 namespace flamingograde {
 
 auto forEachEntry(const TomlText &text, std::string_view section, FindingList &findings,
-                  const std::function<void(FieldReader &)> &take) -> void
+                  const std::function<void(FieldReader &)> &readEntry) -> void
 {
     const auto *node = text.root.get(section);
     if (node == nullptr) {
         return;
     }
     const auto name = std::string(section);
-    const auto mend = "begin each entry with [[" + name + "]]";
+    const auto hint = "begin each entry with [[" + name + "]]";
     const auto *entries = node->as_array();
     if (entries == nullptr) {
-        findings.add(placeOf(node->source()), name + " is not a list of entries", mend);
+        findings.add(placeOf(node->source()), name + " is not a list of entries", hint);
         return;
     }
     for (const auto &entry : *entries) {
         const auto *fields = entry.as_table();
         const auto place = placeOf(entry.source());
         if (fields == nullptr) {
-            findings.add(place, name + " holds something without fields", mend);
+            findings.add(place, name + " has an element that is not an entry with fields", hint);
             continue;
         }
-        const auto isBroken = text.brokenSections.count(place.line) != 0;
-        FieldReader reader(*fields, section, isBroken, findings);
-        take(reader);
+        const auto isIncomplete = text.brokenSections.count(place.line) != 0;
+        FieldReader reader(*fields, section, isIncomplete, findings);
+        readEntry(reader);
     }
 }
 
 auto refuseUnknownSections(const TomlText &text, const std::vector<std::string_view> &known,
-                           std::string_view noun, bool lists, FindingList &findings) -> void
+                           std::string_view subject, bool areLists, FindingList &findings) -> void
 {
     for (const auto &[key, node] : text.root) {
-        const auto word = key.str();
-        const auto isKnown = std::find(known.begin(), known.end(), word) != known.end();
-        const auto isLost = !text.isWhole && word == TomlText::lostSection;
-        if (isKnown || isLost) {
+        const auto name = key.str();
+        const auto isKnown = std::find(known.begin(), known.end(), name) != known.end();
+        const auto isPlaceholder = !text.isWhole && name == TomlText::placeholderSection;
+        if (isKnown || isPlaceholder) {
             continue;
         }
-        const auto meant = std::string(nearestWord(word, known));
-        const auto shown = lists ? "[[" + meant + "]]" : "[" + meant + "]";
+        const auto suggestion = std::string(nearestWord(name, known));
+        const auto header = areLists ? "[[" + suggestion + "]]" : "[" + suggestion + "]";
         findings.add(placeOf(key.source()),
-                     std::string(noun) + " no section \"" + std::string(word) + "\"",
-                     meant.empty() ? "the sections are " + joinWords(known)
-                                   : "did you mean " + shown + "?");
+                     std::string(subject) + " no section \"" + std::string(name) + "\"",
+                     suggestion.empty() ? "the sections are " + joinWords(known)
+                                        : "did you mean " + header + "?");
     }
 }
 
--- a/src/table/entries.h
+++ b/src/table/entries.h
@@ -1,4 +1,4 @@
-/// Goes through the entries of a section that is a list.
+/// Iterates over the entries of array sections and reports unknown sections.
 #pragma once
 
 #include "table/fieldreader.h"
@@ -11,17 +11,20 @@
 
 namespace flamingograde {
 
-/// Calls `take` for each [[section]] entry; what is no entry becomes a finding.
+/// Calls `readEntry` for each [[section]] entry; an element that is not an entry with fields is
+/// added to `findings`. Does nothing if the section is missing.
 /// Precondition: `text` and `findings` outlive the call.
-/// @remarks Thread safe for different lists of findings.
+/// @remarks Thread safe as long as `findings` is not shared.
 auto forEachEntry(const TomlText &text, std::string_view section, FindingList &findings,
-                  const std::function<void(FieldReader &)> &take) -> void;
+                  const std::function<void(FieldReader &)> &readEntry) -> void;
 
-/// Reports the sections that are not among `known`, with the nearest that is.
-/// @param noun what the text is, such as "a table".
-/// @param lists whether its sections are lists of entries.
-/// Precondition: as above.
+/// Adds a finding for each section that is not in `known` and suggests the known section with the
+/// most similar name.
+/// @param subject how the message begins, such as "a table has".
+/// @param areLists whether the sections are arrays of entries; the suggestion then has [[ ]].
+/// Precondition: `text` and `findings` outlive the call.
+/// @remarks Thread safe as long as `findings` is not shared.
 auto refuseUnknownSections(const TomlText &text, const std::vector<std::string_view> &known,
-                           std::string_view noun, bool lists, FindingList &findings) -> void;
+                           std::string_view subject, bool areLists, FindingList &findings) -> void;
 
 } // namespace flamingograde
--- a/src/table/fieldreader.cpp
+++ b/src/table/fieldreader.cpp
@@ -1,4 +1,4 @@
-/// Reads the fields of one entry of the table.
+/// Reads and validates the fields of one TOML entry.
 #include "table/fieldreader.h"
 
 #include "table/nearest.h"
@@ -13,19 +13,19 @@
 
 namespace {
 
-constexpr std::string_view nameLetters =
+constexpr std::string_view nameCharacters =
         "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_";
-constexpr std::uint32_t firstMulticast = 0xE0000000;
+constexpr std::uint32_t firstMulticastIp = 0xE0000000;
 
 auto quoted(std::string_view text) -> std::string
 {
     return "\"" + std::string(text) + "\"";
 }
 
-auto isName(std::string_view text) -> bool
+auto isValidName(std::string_view text) -> bool
 {
     return !text.empty() && text.size() <= config::nameBytesMax
-           && text.find_first_not_of(nameLetters) == std::string_view::npos;
+           && text.find_first_not_of(nameCharacters) == std::string_view::npos;
 }
 
 } // namespace
@@ -38,7 +38,7 @@
 auto FieldReader::name(std::string_view key) -> std::string
 {
     const auto text = this->text(key);
-    if (!this->has(key) || isName(text)) {
+    if (!this->has(key) || isValidName(text)) {
         return std::string(text);
     }
     if (this->fields.get(key)->is_string()) {
@@ -64,8 +64,8 @@
         this->fault(key, "has port 0", "give a port from 1 to 65535");
         return {};
     }
-    if (address->ip >= firstMulticast) {
-        this->fault(key, "is not the address of one host", "give a unicast IPv4 number");
+    if (address->ip >= firstMulticastIp) {
+        this->fault(key, "is not the unicast address of a host", "give a unicast IPv4 address");
         return {};
     }
     return *address;
@@ -80,7 +80,7 @@
     }
     const auto *text = node->as_string();
     if (text == nullptr) {
-        this->fault(key, "is not a text", "write it in quotation marks");
+        this->fault(key, "is not a text string", "enclose it in quotation marks");
         return {};
     }
     return text->get();
@@ -99,10 +99,11 @@
     if (found != words.end()) {
         return static_cast<std::size_t>(found - words.begin());
     }
-    const auto meant = nearestWord(word, words);
-    this->fault(key, "is none of its words",
-                meant.empty() ? "give " + joinWords(words)
-                              : "did you mean " + quoted(meant) + "? It takes " + joinWords(words));
+    const auto suggestion = nearestWord(word, words);
+    this->fault(key, "is none of the allowed values",
+                suggestion.empty() ? "give " + joinWords(words)
+                                   : "did you mean " + quoted(suggestion) + "? The field takes "
+                                             + joinWords(words));
     return fallback;
 }
 
@@ -119,7 +120,7 @@
         return static_cast<std::uint64_t>(value);
     }
     this->fault(key,
-                integer != nullptr ? "is " + std::to_string(value) + ", out of its range"
+                integer != nullptr ? "is " + std::to_string(value) + ", out of range"
                                    : "is not a whole number",
                 "give a whole number from " + std::to_string(range.min) + " to "
                         + std::to_string(range.max));
@@ -132,7 +133,7 @@
     if (value > 0 || !this->has(key)) {
         return value;
     }
-    this->fault(key, "is no number above 0", "give such as 10.5");
+    this->fault(key, "is not a number greater than 0", "give a number such as 10.5");
     return fallback;
 }
 
@@ -142,11 +143,12 @@
     if (value >= 0) {
         return value;
     }
-    this->fault(key, "is no number of at least 0", "give such as 1.5");
+    this->fault(key, "is not a number of at least 0", "give a number such as 1.5");
     return fallback;
 }
 
-/// Returns a finite number, `fallback` for a missing one, and -1 for anything else.
+/// Returns the finite number in the field, `fallback` if the field is missing, and -1 for any other
+/// value.
 auto FieldReader::decimal(std::string_view key, double fallback) const -> double
 {
     const auto *node = this->fields.get(key);
@@ -165,7 +167,8 @@
     }
     const auto *value = node->as_boolean();
     if (value == nullptr) {
-        this->fault(key, "is neither true nor false", "give true or false, without marks");
+        this->fault(key, "is neither true nor false",
+                    "give true or false, with no quotation marks");
         return fallback;
     }
     return value->get();
@@ -173,26 +176,27 @@
 
 auto FieldReader::require(std::string_view key) -> void
 {
-    if (this->isBroken || this->has(key)) {
+    if (this->isIncomplete || this->has(key)) {
         return;
     }
     this->findings.add(this->place(),
-                       "the " + std::string(this->kind) + " has no " + std::string(key),
+                       "the " + std::string(this->entryKind) + " has no " + std::string(key),
                        "add a line \"" + std::string(key) + " = ...\"");
 }
 
 auto FieldReader::refuseUnknown(const std::vector<std::string_view> &known) -> void
 {
     for (const auto &[key, node] : this->fields) {
-        const auto word = key.str();
-        if (std::find(known.begin(), known.end(), word) != known.end()) {
+        const auto fieldName = key.str();
+        if (std::find(known.begin(), known.end(), fieldName) != known.end()) {
             continue;
         }
-        const auto meant = nearestWord(word, known);
+        const auto suggestion = nearestWord(fieldName, known);
         this->findings.add(placeOf(key.source()),
-                           "a " + std::string(this->kind) + " has no field " + quoted(word),
-                           meant.empty() ? "its fields are " + joinWords(known)
-                                         : "did you mean " + quoted(meant) + "?");
+                           "a " + std::string(this->entryKind) + " has no field "
+                                   + quoted(fieldName),
+                           suggestion.empty() ? "its fields are " + joinWords(known)
+                                              : "did you mean " + quoted(suggestion) + "?");
     }
 }
 
@@ -212,9 +216,9 @@
     return placeOf(this->fields.source());
 }
 
-auto FieldReader::fault(std::string_view key, const std::string &what, std::string mend) -> void
+auto FieldReader::fault(std::string_view key, const std::string &what, std::string hint) -> void
 {
-    this->findings.add(this->place(key), std::string(key) + " " + what, std::move(mend));
+    this->findings.add(this->place(key), std::string(key) + " " + what, std::move(hint));
 }
 
 } // namespace flamingograde
--- a/src/table/finding.cpp
+++ b/src/table/finding.cpp
@@ -1,4 +1,4 @@
-/// Writes findings as compilers write errors.
+/// Formats findings in the style of compiler errors.
 #include <flamingograde/finding.h>
 
 namespace flamingograde {
--- a/src/table/findinglist.cpp
+++ b/src/table/findinglist.cpp
@@ -1,4 +1,4 @@
-/// Collects the findings of one text.
+/// Collects the errors found in one text.
 #include "table/findinglist.h"
 
 #include <flamingograde/config.h>
@@ -9,14 +9,14 @@
 
 namespace flamingograde {
 
-auto FindingList::add(Place place, std::string what, std::string mend) -> void
+auto FindingList::add(Place place, std::string what, std::string hint) -> void
 {
     if (this->list.size() == config::findingsMax) {
-        ++this->untold;
+        ++this->omitted;
         return;
     }
     this->list.push_back(
-            { this->file, place.line, place.column, std::move(what), std::move(mend) });
+            { this->file, place.line, place.column, std::move(what), std::move(hint) });
 }
 
 auto FindingList::takeSorted() -> Findings
@@ -25,10 +25,10 @@
         return std::tie(a.line, a.column) < std::tie(b.line, b.column);
     };
     std::stable_sort(this->list.begin(), this->list.end(), isBefore);
-    if (this->untold > 0) {
+    if (this->omitted > 0) {
         this->list.push_back({ this->file, this->list.back().line, this->list.back().column,
-                               "there are " + std::to_string(this->untold) + " more findings",
-                               "mend these first" });
+                               "there are " + std::to_string(this->omitted) + " more findings",
+                               "fix these first" });
     }
     return std::exchange(this->list, {});
 }
--- a/src/table/findinglist.h
+++ b/src/table/findinglist.h
@@ -1,4 +1,4 @@
-/// Collects the findings of one text.
+/// Collects the errors found in one text.
 #pragma once
 
 #include <flamingograde/finding.h>
@@ -11,31 +11,32 @@
 
 namespace flamingograde {
 
-/// The findings of one text while it is being read.
+/// The findings of one text, collected while it is parsed.
 /// @remarks Not thread safe.
 class FindingList
 {
 public:
-    /// @param name the file that the findings carry. Precondition: none.
-    explicit FindingList(std::string_view name) : file(name) {}
+    /// @param fileName the file that the findings name. Precondition: none.
+    explicit FindingList(std::string_view fileName) : file(fileName) {}
 
-    /// Adds a finding; above `config::findingsMax` it is only counted.
-    /// @param place where the fault is.
-    /// @param what what is wrong.
-    /// @param mend how to mend it.
+    /// Adds a finding; once `config::findingsMax` are stored, further ones are only counted.
+    /// @param place the position of the error.
+    /// @param what the error.
+    /// @param hint how to correct it.
     /// Precondition: none.
-    auto add(Place place, std::string what, std::string mend) -> void;
+    auto add(Place place, std::string what, std::string hint) -> void;
 
-    /// Returns whether nothing was found. Precondition: none.
+    /// Returns whether the list has no findings. Precondition: none.
     [[nodiscard]] auto isEmpty() const -> bool { return this->list.empty(); }
 
-    /// Returns the findings in the order of their place and forgets them. Precondition: none.
+    /// Returns the findings sorted by position and clears the list; the last one states how many
+    /// were only counted, if any. Precondition: none.
     [[nodiscard]] auto takeSorted() -> Findings;
 
 private:
     std::string file;
     Findings list;
-    std::size_t untold = 0;
+    std::size_t omitted = 0;
 };
 
 } // namespace flamingograde
--- a/src/table/firstuses.h
+++ b/src/table/firstuses.h
@@ -1,4 +1,4 @@
-/// Finds what is used twice.
+/// Detects keys that are used more than once in a text.
 #pragma once
 
 #include "table/place.h"
@@ -7,16 +7,17 @@
 
 namespace flamingograde {
 
-/// Remembers where each key was used first.
+/// Maps each key to the position of its first use.
 /// @remarks Not thread safe.
 template<typename Key>
 class FirstUses
 {
 public:
-    /// Notes that `key` is used at `place`.
-    /// @returns the place of its first use if there was one, else null; valid until the next call.
+    /// Records that `key` is used at `place`.
+    /// @returns the position of the first use if the key was used before, else null; valid until
+    ///     the next call.
     /// Precondition: none.
-    [[nodiscard]] auto note(const Key &key, Place place) -> const Place *
+    [[nodiscard]] auto record(const Key &key, Place place) -> const Place *
     {
         const auto [entry, isNew] = this->places.emplace(key, place);
         return isNew ? nullptr : &entry->second;
--- a/src/table/words.cpp
+++ b/src/table/formatting.cpp
@@ -1,5 +1,5 @@
-/// Words that printed tables and changes share.
-#include "table/words.h"
+/// Formats values for printed tables and table diffs.
+#include "table/formatting.h"
 
 #include <cmath>
 
@@ -23,8 +23,8 @@
 
 auto percentText(double share) -> std::string
 {
-    constexpr double hundred = 100.0;
-    return std::to_string(std::lround(share * hundred)) + "%";
+    constexpr double percentPerUnit = 100.0;
+    return std::to_string(std::lround(share * percentPerUnit)) + "%";
 }
 
 } // namespace flamingograde
--- a/src/table/words.h
+++ b/src/table/formatting.h
@@ -1,4 +1,4 @@
-/// Words that printed tables and changes share.
+/// Formats values for printed tables and table diffs.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -10,7 +10,7 @@
 
 namespace flamingograde {
 
-/// Returns the state's name in the table.
+/// Returns the state as the table spells it: "active" or "draining".
 /// @remarks Thread safe.
 [[nodiscard]] auto toString(UpstreamState state) -> std::string_view;
 
@@ -18,11 +18,11 @@
 /// @remarks Thread safe.
 [[nodiscard]] auto toString(bool value) -> std::string_view;
 
-/// Returns the whole milliseconds of `duration`.
+/// Returns the whole milliseconds of `duration`; a fraction is dropped.
 /// @remarks Thread safe.
 [[nodiscard]] auto toMilliseconds(Duration duration) -> std::uint64_t;
 
-/// Returns `share`, from 0 to 1, as a percentage such as "29%".
+/// Returns `share`, from 0 to 1, as a rounded percentage such as "29%".
 /// @remarks Thread safe.
 [[nodiscard]] auto percentText(double share) -> std::string;
 
--- a/src/table/idnames.h
+++ b/src/table/idnames.h
@@ -1,4 +1,4 @@
-/// Finds names that have the same id.
+/// Detects different names that have the same id.
 #pragma once
 
 #include <string>
@@ -7,16 +7,16 @@
 
 namespace flamingograde {
 
-/// Remembers which name each id was made from.
+/// Maps each id to the first name that it was derived from.
 /// @remarks Not thread safe.
 template<typename Id>
 class IdNames
 {
 public:
-    /// Notes that `id` was made from `name`.
-    /// @returns the other name that has the same id, or an empty text.
+    /// Records that `id` was derived from `name`.
+    /// @returns the different name recorded earlier for `id`, or an empty string if there is none.
     /// Precondition: none.
-    [[nodiscard]] auto note(Id id, std::string_view name) -> std::string_view
+    [[nodiscard]] auto record(Id id, std::string_view name) -> std::string_view
     {
         const auto [entry, isNew] = this->names.emplace(id, name);
         return entry->second == name ? std::string_view() : std::string_view(entry->second);
--- a/src/table/nearest.h
+++ b/src/table/nearest.h
@@ -1,4 +1,4 @@
-/// Finds the word that was probably meant.
+/// Suggests corrections for misspelled words.
 #pragma once
 
 #include <string>
@@ -7,12 +7,13 @@
 
 namespace flamingograde {
 
-/// Returns the word of `known` that differs least from `word`, or an empty text where none is near.
+/// Returns the word in `known` with the least edit distance to `word`, or an empty string if none
+/// is close enough.
 /// @remarks Thread safe.
 [[nodiscard]] auto nearestWord(std::string_view word, const std::vector<std::string_view> &known)
         -> std::string_view;
 
-/// Returns the words joined as "a, b or c".
+/// Returns the words as one string, such as "a, b or c".
 /// @remarks Thread safe.
 [[nodiscard]] auto joinWords(const std::vector<std::string_view> &words) -> std::string;
 
--- a/src/table/place.h
+++ b/src/table/place.h
@@ -1,11 +1,11 @@
-/// A place in a text.
+/// A position in a text.
 #pragma once
 
 #include <cstdint>
 
 namespace flamingograde {
 
-/// A line and a column, both counted from 1; 0 for no place.
+/// Line and column, both counted from 1; 0 if there is no position.
 struct Place
 {
     std::uint32_t line = 0;
--- a/src/table/requestkind.cpp
+++ b/src/table/requestkind.cpp
@@ -1,4 +1,4 @@
-/// The words of request kinds.
+/// Names of the request kinds in the table.
 #include <flamingograde/requestkind.h>
 
 namespace flamingograde {
--- a/src/table/rowdiff.cpp
+++ b/src/table/rowdiff.cpp
@@ -1,7 +1,7 @@
 /// Compares the rows of two tables.
 #include "table/changelist.h"
 #include "table/entrydiff.h"
-#include "table/words.h"
+#include "table/formatting.h"
 
 #include <flamingograde/table.h>
 
@@ -47,12 +47,14 @@
                     "its callers reach other upstreams, and their tokens are refused; give the "
                     "new service a row and an address of its own");
     changes.compare(subject, "address", before.address.toString(), after.address.toString(),
-                    "the old address is no longer listened on; move the callers to a second row "
-                    "first");
+                    "the old address is no longer served; move the callers to a second "
+                    "row first");
     changes.compare(subject, "kind", kindText(before), kindText(after),
-                    "its callers' requests are handled differently while tables differ");
+                    "its callers' requests are handled differently while hosts have different "
+                    "tables");
     changes.compare(subject, "idempotent", idempotentText(before), idempotentText(after),
-                    after.idempotent ? "a request may from now on be run more than once" : "");
+                    after.idempotent ? "from now on, a request may be executed more than once"
+                                     : "");
     diffLimits(before, after, changes);
 }
 
@@ -72,7 +74,7 @@
     for (const auto &row : before.rows()) {
         if (after.row(row.id) == nullptr) {
             changes.add(subjectOf(row) + " removed: " + row.address.toString(),
-                        "its address is no longer listened on");
+                        "its address is no longer served");
         }
     }
 }
--- a/src/table/servicediff.cpp
+++ b/src/table/servicediff.cpp
@@ -1,8 +1,8 @@
-/// Compares what two tables offer to each service.
+/// Compares the capacity, key placement and addresses of each service in two tables.
 #include "core/keys/keyplacement.h"
 #include "table/changelist.h"
 #include "table/entrydiff.h"
-#include "table/words.h"
+#include "table/formatting.h"
 
 #include <flamingograde/table.h>
 
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr std::size_t sampleKeys = 1000;
-constexpr double shrunkenShare = 0.5; // Less than this of the former slots is worth a warning.
+constexpr std::size_t sampleKeyCount = 1000;
+constexpr double capacityWarningShare = 0.5; // Warn if less than this of the old slots remains.
 
-auto slotsOf(const Table &table, ServiceId service) -> double
+auto activeSlotsOf(const Table &table, ServiceId service) -> double
 {
     double slots = 0;
     for (const auto zone : table.zonesOf(service)) {
@@ -27,26 +27,26 @@
     return slots;
 }
 
-auto carriesNonIdempotent(const Table &table, ServiceId service) -> bool
+auto hasNonIdempotentRow(const Table &table, ServiceId service) -> bool
 {
     return std::any_of(table.rows().begin(), table.rows().end(), [service](const Row &row) {
         return row.service == service && !row.idempotent;
     });
 }
 
-/// Returns the share of idempotency keys that another zone runs; measured on a sample.
-auto movedKeys(const Table &before, const Table &after, ServiceId service) -> double
+/// Returns the share of idempotency keys, estimated on a sample, whose zone changes.
+auto movedKeyShare(const Table &before, const Table &after, ServiceId service) -> double
 {
     const auto oldZones = activeZones(before);
     const auto newZones = activeZones(after);
     std::size_t moved = 0;
-    for (std::size_t i = 0; i < sampleKeys; ++i) {
+    for (std::size_t i = 0; i < sampleKeyCount; ++i) {
         const auto key = "sample-" + std::to_string(i);
         if (zoneOfKey(oldZones, service, key) != zoneOfKey(newZones, service, key)) {
             ++moved;
         }
     }
-    return static_cast<double>(moved) / sampleKeys;
+    return static_cast<double>(moved) / sampleKeyCount;
 }
 
 auto zoneSlotsDiffer(const Table &before, const Table &after, ServiceId service) -> bool
@@ -54,10 +54,10 @@
     const auto differs = [&](ZoneId zone) {
         return activeSlots(before, service, zone) != activeSlots(after, service, zone);
     };
-    const auto &old = before.zonesOf(service);
-    const auto &now = after.zonesOf(service);
-    return std::any_of(old.begin(), old.end(), differs)
-           || std::any_of(now.begin(), now.end(), differs);
+    const auto &oldZones = before.zonesOf(service);
+    const auto &newZones = after.zonesOf(service);
+    return std::any_of(oldZones.begin(), oldZones.end(), differs)
+           || std::any_of(newZones.begin(), newZones.end(), differs);
 }
 
 auto slotsText(double before, double after) -> std::string
@@ -70,29 +70,30 @@
         -> void
 {
     if (after == 0) {
-        changes.add(subject + " has no active upstream", "its rows refuse everything");
+        changes.add(subject + " has no active upstream", "its rows refuse all requests");
         return;
     }
     if (before != after) {
-        const auto isShrunken = after < before * shrunkenShare;
+        const auto isLargeDrop = after < before * capacityWarningShare;
         changes.add(subject + ": active slots " + slotsText(before, after),
-                    isShrunken ? "less than half is left; see that the load fits" : "");
+                    isLargeDrop ? "less than half of the slots is left; see that they can "
+                                  "carry the load"
+                                : "");
     }
 }
 
 auto diffKeys(const std::string &subject, const Table &before, const Table &after,
               ServiceId service, ChangeList &changes) -> void
 {
-    if (!carriesNonIdempotent(after, service) || !zoneSlotsDiffer(before, after, service)) {
+    if (!hasNonIdempotentRow(after, service) || !zoneSlotsDiffer(before, after, service)) {
         return;
     }
-    const auto moved = movedKeys(before, after, service);
+    const auto moved = movedKeyShare(before, after, service);
     if (moved > 0) {
-        changes.add(
-                subject + ": about " + percentText(moved)
-                        + " of its idempotency keys move to another zone",
-                "a repeat of a request sent before the change may be answered \"unknown\" while "
-                "a host is cut off; change as few zones as can be at a time of little work");
+        changes.add(subject + ": about " + percentText(moved)
+                            + " of its idempotency keys move to another zone",
+                    "a retry of a request sent before the change may be answered \"unknown\" while "
+                    "a host is cut off; change as few zones as possible, at a time of low load");
     }
 }
 
@@ -100,8 +101,8 @@
         -> void
 {
     const auto subject = "service \"" + row.serviceName + "\"";
-    const auto oldSlots = slotsOf(before, row.service);
-    const auto newSlots = slotsOf(after, row.service);
+    const auto oldSlots = activeSlotsOf(before, row.service);
+    const auto newSlots = activeSlotsOf(after, row.service);
     if (oldSlots == 0 && newSlots == 0 && !before.upstreamsOf(row.service).empty()) {
         return;
     }
@@ -111,7 +112,7 @@
     }
 }
 
-/// Which entry of a table has an address.
+/// The row or upstream that has an address.
 struct AddressOwner
 {
     std::string name;
@@ -154,7 +155,7 @@
             changes.add("address " + address.toString() + ": service \"" + found->second.service
                                 + "\" -> \"" + owner.service + "\"",
                         "what is sent to it under the old table reaches another service; leave "
-                        "it unused for a revision first");
+                        "the address unused for one revision first");
         }
     }
 }
--- a/src/table/table.cpp
+++ b/src/table/table.cpp
@@ -1,4 +1,4 @@
-/// The look-ups of a table.
+/// Builds the indexes of a routing table and looks entries up in them.
 #include <flamingograde/table.h>
 
 #include <algorithm>
--- a/src/table/tablediff.cpp
+++ b/src/table/tablediff.cpp
@@ -1,4 +1,4 @@
-/// What an edit of the table changes.
+/// Compares two versions of a routing table.
 #include <flamingograde/tablediff.h>
 
 #include "table/changelist.h"
--- a/src/table/tableparser.cpp
+++ b/src/table/tableparser.cpp
@@ -1,4 +1,4 @@
-/// Reads a table from TOML.
+/// Parses a routing table from TOML.
 #include <flamingograde/tableparser.h>
 
 #include "table/findinglist.h"
@@ -21,8 +21,8 @@
                      "split it by service");
         return tl::unexpected(findings.takeSorted());
     }
-    const auto read = readToml(text, findings);
-    auto table = TableReader(read, findings).take();
+    const auto parsed = readToml(text, findings);
+    auto table = TableReader(parsed, findings).take();
     if (!findings.isEmpty()) {
         return tl::unexpected(findings.takeSorted());
     }
--- a/src/table/tableprinter.cpp
+++ b/src/table/tableprinter.cpp
@@ -1,8 +1,8 @@
-/// Prints the table for operators.
+/// Formats a routing table as text for operators.
 #include <flamingograde/tableprinter.h>
 
+#include "table/formatting.h"
 #include "table/textgrid.h"
-#include "table/words.h"
 
 #include <flamingograde/table.h>
 
@@ -13,9 +13,9 @@
 
 namespace {
 
-auto text(std::string_view words) -> std::string
+auto text(std::string_view view) -> std::string
 {
-    return std::string(words);
+    return std::string(view);
 }
 
 auto printRows(const Table &table) -> std::string
@@ -44,26 +44,26 @@
     return grid.toString();
 }
 
-/// What one cell offers.
-struct CellSum
+/// Totals of the active upstreams of one cell or service.
+struct CapacityTotals
 {
     std::size_t active = 0;
     std::uint64_t slots = 0;
     std::uint64_t connections = 0;
 };
 
-auto sumOf(const Table &table, const std::vector<std::size_t> &upstreams) -> CellSum
+auto totalsOf(const Table &table, const std::vector<std::size_t> &upstreams) -> CapacityTotals
 {
-    CellSum sum;
+    CapacityTotals totals;
     for (const auto index : upstreams) {
         const auto &upstream = table.upstreams()[index];
         if (upstream.state == UpstreamState::Active) {
-            ++sum.active;
-            sum.slots += upstream.slots;
-            sum.connections += upstream.connections;
+            ++totals.active;
+            totals.slots += upstream.slots;
+            totals.connections += upstream.connections;
         }
     }
-    return sum;
+    return totals;
 }
 
 auto shareText(std::uint64_t part, std::uint64_t whole) -> std::string
@@ -80,11 +80,12 @@
             continue;
         }
         const auto &upstreams = table.upstreamsOf(upstream.cell());
-        const auto sum = sumOf(table, upstreams);
-        const auto whole = sumOf(table, table.upstreamsOf(upstream.service));
+        const auto totals = totalsOf(table, upstreams);
+        const auto serviceTotals = totalsOf(table, table.upstreamsOf(upstream.service));
         grid.addLine({ upstream.serviceName, upstream.zoneName, std::to_string(upstreams.size()),
-                       std::to_string(sum.active), std::to_string(sum.slots),
-                       std::to_string(sum.connections), shareText(sum.slots, whole.slots) });
+                       std::to_string(totals.active), std::to_string(totals.slots),
+                       std::to_string(totals.connections),
+                       shareText(totals.slots, serviceTotals.slots) });
     }
     return grid.toString();
 }
--- a/src/table/tablereader.cpp
+++ b/src/table/tablereader.cpp
@@ -1,8 +1,8 @@
-/// Turns a read TOML text into the parts of a table.
+/// Builds a routing table from parsed TOML.
 #include "table/tablereader.h"
 
 #include "table/entries.h"
-#include "table/words.h"
+#include "table/formatting.h"
 
 #include <flamingograde/config.h>
 
@@ -32,7 +32,7 @@
 const Words kindWords { "feed", "request", "upload" };
 const Words stateWords { "active", "draining" };
 
-auto inLine(Place place) -> std::string
+auto lineText(Place place) -> std::string
 {
     return "line " + std::to_string(place.line);
 }
@@ -42,13 +42,13 @@
 auto TableReader::take() -> Table
 {
     refuseUnknownSections(this->text, sections, "a table has", true, this->findings);
-    const auto read = [this](std::string_view section, ReadEntry readEntry) {
+    const auto readSection = [this](std::string_view section, ReadEntry readEntry) {
         forEachEntry(this->text, section, this->findings,
                      [this, readEntry](FieldReader &fields) { (this->*readEntry)(fields); });
     };
-    read(tokenKeySection, &TableReader::readTokenKey);
-    read(rowSection, &TableReader::readRow);
-    read(upstreamSection, &TableReader::readUpstream);
+    readSection(tokenKeySection, &TableReader::readTokenKey);
+    readSection(rowSection, &TableReader::readRow);
+    readSection(upstreamSection, &TableReader::readUpstream);
     if (this->text.isWhole) {
         this->checkSigningKeys();
         this->checkRows();
@@ -68,9 +68,9 @@
         this->signingKeys.push_back(fields.place("signing"));
     }
     const auto place = fields.place("id");
-    const auto *first = fields.has("id") ? this->keyIds.note(key.id, place) : nullptr;
+    const auto *first = fields.has("id") ? this->keyIds.record(key.id, place) : nullptr;
     if (first != nullptr) {
-        fields.fault("id", "is the same as in " + inLine(*first), "give each key its own id");
+        fields.fault("id", "is the same as in " + lineText(*first), "give each key its own id");
     }
     this->keys.push_back(key);
 }
@@ -88,7 +88,7 @@
         && text.size() == 2 * TokenKey::secretBytes) {
         return;
     }
-    fields.fault("secret", "has not the length and digits of a key",
+    fields.fault("secret", "is not a hexadecimal key of the required length",
                  "give " + std::to_string(2 * TokenKey::secretBytes) + " hexadecimal digits");
 }
 
@@ -109,7 +109,7 @@
     this->checkName(fields, row.name);
     this->checkAddress(fields, row.address);
     this->checkService(fields, row.service, row.serviceName);
-    this->checkId(fields, "name", this->rowIds.note(row.id, row.name));
+    this->checkId(fields, "name", this->rowIds.record(row.id, row.name));
     this->rowServices.push_back(fields.place("service"));
     this->rows.push_back(std::move(row));
 }
@@ -124,9 +124,9 @@
     row.urgency = number("urgency", { 0, config::urgencyMax, row.urgency });
     row.concurrent = number("concurrent", { 0, config::concurrentMax, row.concurrent });
     row.queue = number("queue", { 0, config::queueMax, row.queue });
-    const NumberRange deadlines { 1, toMilliseconds(config::deadlineMax),
-                                  toMilliseconds(row.deadline) };
-    row.deadline = std::chrono::milliseconds(fields.number("deadline_ms", deadlines));
+    const NumberRange deadlineRange { 1, toMilliseconds(config::deadlineMax),
+                                      toMilliseconds(row.deadline) };
+    row.deadline = std::chrono::milliseconds(fields.number("deadline_ms", deadlineRange));
     row.bodyMax = fields.number("body_max", { 0, config::bodyBytesMax, row.bodyMax });
     if (row.kind == RequestKind::Feed && !row.idempotent) {
         fields.fault("idempotent", "is false, but a feed is always idempotent",
@@ -155,11 +155,11 @@
     this->checkName(fields, upstream.name);
     this->checkAddress(fields, upstream.address);
     this->checkService(fields, upstream.service, upstream.serviceName);
-    this->checkId(fields, "name", this->upstreamIds.note(upstream.id, upstream.name));
-    this->checkId(fields, "zone", this->zoneIds.note(upstream.zone, upstream.zoneName));
-    this->checkId(
-            fields, "zone",
-            this->cellIds.note(upstream.cell(), upstream.serviceName + " in " + upstream.zoneName));
+    this->checkId(fields, "name", this->upstreamIds.record(upstream.id, upstream.name));
+    this->checkId(fields, "zone", this->zoneIds.record(upstream.zone, upstream.zoneName));
+    this->checkId(fields, "zone",
+                  this->cellIds.record(upstream.cell(),
+                                       upstream.serviceName + " in " + upstream.zoneName));
     this->upstreams.push_back(std::move(upstream));
 }
 
@@ -168,9 +168,9 @@
     if (name.empty()) {
         return;
     }
-    const auto *first = this->names.note(name, fields.place("name"));
+    const auto *first = this->names.record(name, fields.place("name"));
     if (first != nullptr) {
-        fields.fault("name", "is the same as in " + inLine(*first),
+        fields.fault("name", "is the same as in " + lineText(*first),
                      "give each row and upstream its own name");
     }
 }
@@ -180,22 +180,22 @@
     if (!address.isValid()) {
         return;
     }
-    const auto *first = this->addresses.note(address, fields.place("address"));
+    const auto *first = this->addresses.record(address, fields.place("address"));
     if (first != nullptr) {
-        fields.fault("address", "is the same as in " + inLine(*first),
+        fields.fault("address", "is the same as in " + lineText(*first),
                      "give each row and upstream its own address");
     }
 }
 
 auto TableReader::checkService(FieldReader &fields, ServiceId id, const std::string &name) -> void
 {
-    this->checkId(fields, "service", this->serviceIds.note(id, name));
+    this->checkId(fields, "service", this->serviceIds.record(id, name));
 }
 
 auto TableReader::checkId(FieldReader &fields, std::string_view key, std::string_view other) -> void
 {
     if (!other.empty()) {
-        fields.fault(key, "has the same id as \"" + std::string(other) + "\"",
+        fields.fault(key, "maps to the same id as \"" + std::string(other) + "\"",
                      "change a letter of the name");
     }
 }
@@ -209,7 +209,7 @@
     }
     for (std::size_t i = 1; i < this->signingKeys.size(); ++i) {
         this->findings.add(this->signingKeys[i],
-                           "signing is true here and in " + inLine(this->signingKeys[0]),
+                           "signing is true here and in " + lineText(this->signingKeys[0]),
                            "let exactly one token key sign");
     }
 }
@@ -219,16 +219,16 @@
     if (this->rows.empty()) {
         this->findings.add({ 1, 1 }, "the table has no row", "add a [[row]]");
     }
-    std::unordered_set<ServiceId> carried;
+    std::unordered_set<ServiceId> servicesWithUpstream;
     for (const auto &upstream : this->upstreams) {
-        carried.insert(upstream.service);
+        servicesWithUpstream.insert(upstream.service);
     }
     for (std::size_t i = 0; i < this->rows.size(); ++i) {
         const auto &row = this->rows[i];
-        if (!row.serviceName.empty() && carried.count(row.service) == 0) {
+        if (!row.serviceName.empty() && servicesWithUpstream.count(row.service) == 0) {
             this->findings.add(this->rowServices[i],
                                "service \"" + row.serviceName + "\" has no upstream",
-                               "add an [[upstream]] of it, or mend the name");
+                               "add an [[upstream]] for it, or correct the name");
         }
     }
 }
--- a/src/table/tablereader.h
+++ b/src/table/tablereader.h
@@ -1,4 +1,4 @@
-/// Turns a read TOML text into the parts of a table.
+/// Builds a routing table from parsed TOML.
 #pragma once
 
 #include "table/findinglist.h"
@@ -23,17 +23,17 @@
 
 class FieldReader;
 
-/// Reads the entries of one table and checks them, alone and against each other.
+/// Reads the entries of one table and validates each entry, then the entries against each other.
 /// @remarks Not thread safe.
 class TableReader
 {
 public:
-    /// @param read the text. Precondition: it outlives this reader, as does `list`.
-    /// @param list takes the findings.
-    TableReader(const TomlText &read, FindingList &list) : text(read), findings(list) {}
+    /// @param parsed the parsed text. Precondition: it outlives this reader, as does `list`.
+    /// @param list receives the findings.
+    TableReader(const TomlText &parsed, FindingList &list) : text(parsed), findings(list) {}
 
-    /// Reads and checks everything. Precondition: not called before.
-    /// @returns the table; of use only if nothing was found.
+    /// Reads and validates all entries. Precondition: not called before.
+    /// @returns the table; valid only if the list has no findings.
     [[nodiscard]] auto take() -> Table;
 
 private:
@@ -54,10 +54,10 @@
     const TomlText &text;
     FindingList &findings;
     std::vector<Row> rows;
-    std::vector<Place> rowServices; ///< Where each row names its service.
+    std::vector<Place> rowServices; ///< Position of each row's service name.
     std::vector<Upstream> upstreams;
     std::vector<TokenKey> keys;
-    std::vector<Place> signingKeys;
+    std::vector<Place> signingKeys; ///< Position of each `signing = true`.
     FirstUses<std::string> names;
     FirstUses<Address> addresses;
     FirstUses<std::uint8_t> keyIds;
--- a/src/table/textgrid.cpp
+++ b/src/table/textgrid.cpp
@@ -1,4 +1,4 @@
-/// Aligns cells of text in columns.
+/// Formats cells of text in aligned columns.
 #include "table/textgrid.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t gap = 2;
+constexpr std::size_t columnGap = 2;
 
 } // namespace
 
@@ -37,7 +37,7 @@
         for (std::size_t column = 0; column < columns; ++column) {
             const std::string padding(widths[column] - line[column].size(), ' ');
             aligned += numeric[column] ? padding + line[column] : line[column] + padding;
-            aligned.append(gap, ' ');
+            aligned.append(columnGap, ' ');
         }
         aligned.erase(aligned.find_last_not_of(' ') + 1);
         text += aligned + "\n";
--- a/src/table/textgrid.h
+++ b/src/table/textgrid.h
@@ -1,4 +1,4 @@
-/// Aligns cells of text in columns.
+/// Formats cells of text in aligned columns.
 #pragma once
 
 #include <cstddef>
@@ -7,18 +7,19 @@
 
 namespace flamingograde {
 
-/// A grid of text with a header line; columns whose cells are all numbers are aligned right.
+/// A grid of text with a header line. A column is right-aligned if its cells, except the header,
+/// have only digits and percent signs or are empty; other columns are left-aligned.
 /// @remarks Not thread safe.
 class TextGrid
 {
 public:
-    /// @param titles the header's cells. Precondition: not empty.
+    /// @param titles the cells of the header line. Precondition: not empty.
     explicit TextGrid(std::vector<std::string> titles);
 
-    /// Adds a line. Precondition: as many cells as titles.
+    /// Adds a line. Precondition: `cells` has as many elements as the header.
     auto addLine(std::vector<std::string> cells) -> void;
 
-    /// Returns the aligned lines, each ended by a line feed. Precondition: none.
+    /// Returns the aligned lines, each followed by a line feed. Precondition: none.
     [[nodiscard]] auto toString() const -> std::string;
 
 private:
--- a/src/table/tokenkeydiff.cpp
+++ b/src/table/tokenkeydiff.cpp
@@ -28,19 +28,21 @@
 {
     const auto subject = subjectOf(after);
     if (before.secret != after.secret) {
-        changes.add(subject + ": another secret",
-                    "every token signed with the old one is refused; publish the new secret under "
-                    "another id first");
+        changes.add(subject + ": secret changed",
+                    "every token signed with the old secret is refused; publish the new secret "
+                    "under another id first");
     }
     if (before.signing != after.signing) {
-        changes.add(subject + (after.signing ? ": signs from now on" : ": only verifies"));
+        changes.add(subject
+                    + (after.signing ? ": signs tokens from now on"
+                                     : ": no longer signs tokens, only verifies them"));
     }
 }
 
 auto addNewKey(const TokenKey &key, ChangeList &changes) -> void
 {
     if (!key.signing) {
-        changes.add(subjectOf(key) + " added, to verify only");
+        changes.add(subjectOf(key) + " added, for verification only");
         return;
     }
     changes.add(subjectOf(key) + " added and signs at once",
@@ -50,8 +52,11 @@
 
 auto addRemovedKey(const TokenKey &key, ChangeList &changes) -> void
 {
-    changes.add(subjectOf(key) + " removed, tokens of it are refused",
-                key.signing ? "it signed until now; let it verify until its flows have ended" : "");
+    changes.add(subjectOf(key) + " removed; tokens signed with it are refused",
+                key.signing
+                        ? "it was the signing key; keep it with signing = false until the flows "
+                          "that use its tokens have ended"
+                        : "");
 }
 
 } // namespace
--- a/src/table/tomldraft.cpp
+++ b/src/table/tomldraft.cpp
@@ -1,4 +1,4 @@
-/// A faulty TOML text from which lines are struck out.
+/// The lines of a TOML text with syntax errors, which can be cleared one by one.
 #include "table/tomldraft.h"
 
 namespace flamingograde {
@@ -61,17 +61,18 @@
     return line;
 }
 
-auto TomlDraft::strikeOut(std::size_t line) -> bool
+auto TomlDraft::clearLine(std::size_t line) -> bool
 {
     if (line >= this->lines.size() || isBlank(this->lines[line])
-        || this->lines[line] == TomlDraft::lostHeader) {
+        || this->lines[line] == TomlDraft::placeholderHeader) {
         return false;
     }
-    this->lines[line] = isHeader(this->lines[line]) ? TomlDraft::lostHeader : std::string_view();
+    this->lines[line] =
+            isHeader(this->lines[line]) ? TomlDraft::placeholderHeader : std::string_view();
     return true;
 }
 
-auto TomlDraft::strikeOutContent(LineRange section) -> void
+auto TomlDraft::clearContent(LineRange section) -> void
 {
     for (auto line = section.begin; line < section.end; ++line) {
         if (!isHeader(this->lines[line])) {
--- a/src/table/tomldraft.h
+++ b/src/table/tomldraft.h
@@ -1,4 +1,4 @@
-/// A faulty TOML text from which lines are struck out.
+/// The lines of a TOML text with syntax errors, which can be cleared one by one.
 #pragma once
 
 #include "table/place.h"
@@ -11,47 +11,50 @@
 
 namespace flamingograde {
 
-/// Some lines of a text, from `begin` to before `end`, counted from 0.
+/// A half-open range of lines: from `begin` up to but not including `end`, counted from 0.
 struct LineRange
 {
     std::size_t begin = 0;
     std::size_t end = 0;
 };
 
-/// The lines of a faulty TOML text. Lines are counted from 0.
+/// The lines of a TOML text with syntax errors, counted from 0. Clearing the faulty lines lets the
+/// rest be parsed; line numbers do not change.
 /// @remarks Not thread safe.
 class TomlDraft
 {
 public:
-    /// The name of the section under which the contents of unreadable headers are gathered.
-    static constexpr std::string_view lostSection = "unreadable-section";
+    /// The name of the section that replaces each section whose header cannot be parsed.
+    static constexpr std::string_view placeholderSection = "unreadable-section";
 
     /// @param text the text. Precondition: it outlives this draft.
     explicit TomlDraft(std::string_view text);
 
-    /// Returns the sections: what comes before the first header, then one for each header.
-    /// Precondition: none.
+    /// Returns the line ranges of the sections: the lines before the first header, then one range
+    /// for each header with the lines below it. Precondition: none.
     [[nodiscard]] auto sections() const -> std::vector<LineRange>;
 
-    /// Returns all lines. Precondition: none.
+    /// Returns the range of all lines. Precondition: none.
     [[nodiscard]] auto all() const -> LineRange { return { 0, this->lines.size() }; }
 
-    /// Returns the text of some lines. Precondition: the range is within the text.
+    /// Returns the text of the lines in `range`. Precondition: the range is within the text.
     [[nodiscard]] auto textOf(LineRange range) const -> std::string;
 
-    /// Returns the header's line of the section that holds `line`, or 0. Precondition: none.
+    /// Returns the header line of the section that contains `line`, or 0 if `line` is before the
+    /// first header. Precondition: none.
     [[nodiscard]] auto headerOf(std::size_t line) const -> std::size_t;
 
-    /// Empties a line; a header is replaced by that of the lost section.
-    /// @returns whether there was anything to strike out.
+    /// Clears a line; a header is replaced by the header of the placeholder section.
+    /// @returns whether the line changed: false if it was blank, already replaced or past the end.
     /// Precondition: none.
-    auto strikeOut(std::size_t line) -> bool;
+    auto clearLine(std::size_t line) -> bool;
 
-    /// Empties all lines of a section but its header. Precondition: the range is within the text.
-    auto strikeOutContent(LineRange section) -> void;
+    /// Clears all lines of a section except its header.
+    /// Precondition: the range is within the text.
+    auto clearContent(LineRange section) -> void;
 
 private:
-    static constexpr std::string_view lostHeader = "[[unreadable-section]]";
+    static constexpr std::string_view placeholderHeader = "[[unreadable-section]]";
 
     std::vector<std::string_view> lines;
 };
--- a/src/table/tomltext.cpp
+++ b/src/table/tomltext.cpp
@@ -1,7 +1,8 @@
-/// Reads TOML on past its syntax errors.
+/// Parses TOML and continues after syntax errors.
 ///
-/// A faulty text is read section by section, so that the time does not grow with the number of
-/// its errors; then once more as a whole, for what sections do to each other.
+/// A text with syntax errors is first parsed section by section: reparsing one section after each
+/// error, not the whole text, keeps the time from growing with the number of errors. It is then
+/// parsed as a whole to find errors between sections, such as redefinitions.
 #include "table/tomltext.h"
 
 #include "table/fieldreader.h"
@@ -17,79 +18,82 @@
 
 namespace {
 
-constexpr std::size_t wholeBytesMax = 4 * config::tableBytesMax; // Bounds the time to refuse.
+// Limits the bytes of all reparses of the whole text and thus the time to refuse a faulty text.
+constexpr std::size_t reparsedBytesMax = 4 * config::tableBytesMax;
 
-/// Finds the syntax errors of a text.
-class ErrorSearch
+/// Collects the syntax errors of a text and parses what remains without the faulty lines.
+class SyntaxErrorCollector
 {
 public:
-    ErrorSearch(std::string_view text, TomlText &result, FindingList &list)
+    SyntaxErrorCollector(std::string_view text, TomlText &result, FindingList &list)
         : draft(text), read(result), findings(list)
     {}
 
     auto run() -> void
     {
         for (const auto section : this->draft.sections()) {
-            if (!this->readSection(section)) {
-                this->draft.strikeOutContent(section);
+            if (!this->parseSection(section)) {
+                this->draft.clearContent(section);
             }
-            if (this->errors == config::syntaxFindingsMax) {
+            if (this->errorCount == config::syntaxFindingsMax) {
                 return;
             }
         }
-        this->readWhole();
+        this->parseWhole();
     }
 
 private:
-    auto readWhole() -> void
+    auto parseWhole() -> void
     {
         std::size_t bytes = 0;
-        while (bytes < wholeBytesMax && this->errors < config::syntaxFindingsMax) {
+        while (bytes < reparsedBytesMax && this->errorCount < config::syntaxFindingsMax) {
             const auto text = this->draft.textOf(this->draft.all());
             bytes += text.size();
-            auto whole = toml::parse(text);
-            if (whole) {
-                this->read.root = std::move(whole).table();
+            auto parsed = toml::parse(text);
+            if (parsed) {
+                this->read.root = std::move(parsed).table();
                 return;
             }
-            if (!this->strikeOut(whole.error(), 0)) {
+            if (!this->reportAndClear(parsed.error(), 0)) {
                 return;
             }
         }
     }
 
-    /// Returns whether the section is readable, if need be without some of its lines.
-    auto readSection(LineRange section) -> bool
+    /// Parses a section and clears its faulty lines.
+    /// @returns whether what remains can be parsed.
+    auto parseSection(LineRange section) -> bool
     {
-        auto part = toml::parse(this->draft.textOf(section));
-        while (!part) {
-            if (this->errors == config::syntaxFindingsMax
-                || !this->strikeOut(part.error(), section.begin)) {
+        auto parsed = toml::parse(this->draft.textOf(section));
+        while (!parsed) {
+            if (this->errorCount == config::syntaxFindingsMax
+                || !this->reportAndClear(parsed.error(), section.begin)) {
                 return false;
             }
-            part = toml::parse(this->draft.textOf(section));
+            parsed = toml::parse(this->draft.textOf(section));
         }
         return true;
     }
 
-    /// Reports an error and strikes its line out.
-    /// @returns whether there was anything to strike out.
-    auto strikeOut(const toml::parse_error &error, std::size_t firstLine) -> bool
+    /// Adds a finding for the error and clears its line.
+    /// @param firstLine the line of the text, counted from 0, at which the parsed part begins.
+    /// @returns whether the line changed.
+    auto reportAndClear(const toml::parse_error &error, std::size_t firstLine) -> bool
     {
         auto place = placeOf(error.source());
         place.line += static_cast<std::uint32_t>(firstLine);
-        this->findings.add(place, std::string(error.description()), "mend the TOML here");
-        ++this->errors;
+        this->findings.add(place, std::string(error.description()), "fix the TOML syntax here");
+        ++this->errorCount;
         const auto line = std::min<std::size_t>(place.line, this->draft.all().end) - 1;
         const auto header = this->draft.headerOf(line) + 1;
         this->read.brokenSections.insert(static_cast<std::uint32_t>(header));
-        return this->draft.strikeOut(line);
+        return this->draft.clearLine(line);
     }
 
     TomlDraft draft;
     TomlText &read;
     FindingList &findings;
-    std::size_t errors = 0;
+    std::size_t errorCount = 0;
 };
 
 } // namespace
@@ -103,7 +107,7 @@
         return read;
     }
     read.isWhole = false;
-    ErrorSearch(text, read, findings).run();
+    SyntaxErrorCollector(text, read, findings).run();
     return read;
 }
 
--- a/src/table/tomltext.h
+++ b/src/table/tomltext.h
@@ -1,4 +1,4 @@
-/// Reads TOML on past its syntax errors.
+/// Parses TOML and continues after syntax errors.
 #pragma once
 
 #include "table/findinglist.h"
@@ -12,20 +12,20 @@
 
 namespace flamingograde {
 
-/// What could be read of a TOML text.
+/// The parts of a TOML text that could be parsed.
 struct TomlText
 {
-    static constexpr auto lostSection = TomlDraft::lostSection;
+    static constexpr auto placeholderSection = TomlDraft::placeholderSection;
 
     toml::table root;
-    bool isWhole = true;                              ///< The text has no syntax error.
-    std::unordered_set<std::uint32_t> brokenSections; ///< Lines of headers of sections with one.
+    bool isWhole = true;                              ///< Whether the text has no syntax errors.
+    std::unordered_set<std::uint32_t> brokenSections; ///< Header lines of the sections with one.
 };
 
-/// Reads `text`; reports each syntax error, leaves its line out and reads on.
+/// Parses `text`. At each syntax error, adds a finding, skips the faulty line and continues.
 /// @param text the TOML text.
-/// @param findings takes the syntax errors.
-/// @returns what could be read.
+/// @param findings receives at most `config::syntaxFindingsMax` syntax errors.
+/// @returns the parts that could be parsed.
 /// @remarks Thread safe.
 [[nodiscard]] auto readToml(std::string_view text, FindingList &findings) -> TomlText;
 
--- a/src/table/upstreamdiff.cpp
+++ b/src/table/upstreamdiff.cpp
@@ -1,7 +1,7 @@
 /// Compares the upstreams of two tables.
 #include "table/changelist.h"
 #include "table/entrydiff.h"
-#include "table/words.h"
+#include "table/formatting.h"
 
 #include <flamingograde/table.h>
 
@@ -25,12 +25,13 @@
 auto diffUpstream(const Upstream &before, const Upstream &after, ChangeList &changes) -> void
 {
     const auto subject = subjectOf(after);
-    changes.compare(subject, "service", before.serviceName, after.serviceName,
-                    "its flows cannot go on there; drain it, remove it, and add it under another "
-                    "name");
+    changes.compare(
+            subject, "service", before.serviceName, after.serviceName,
+            "its flows cannot continue there; drain it, remove it, and add it under another "
+            "name");
     changes.compare(subject, "zone", before.zoneName, after.zoneName,
-                    "hosts with the old and the new table may both fill its slots; drain it, "
-                    "remove it, and add it under another name");
+                    "hosts with the old table and hosts with the new table may each use all of "
+                    "its slots; drain it, remove it, and add it under another name");
     changes.compare(subject, "address", before.address.toString(), after.address.toString(),
                     "its feeds break if another process answers there; add it under another name "
                     "and drain the old one");
@@ -43,13 +44,13 @@
 auto addNew(const Upstream &upstream, const Table &table, ChangeList &changes) -> void
 {
     const auto &rows = table.rows();
-    const auto isCarried = std::any_of(rows.begin(), rows.end(), [&upstream](const Row &row) {
+    const auto hasRow = std::any_of(rows.begin(), rows.end(), [&upstream](const Row &row) {
         return row.service == upstream.service;
     });
     changes.add(subjectOf(upstream) + " added, " + stateText(upstream) + ": service \""
                         + upstream.serviceName + "\" in zone " + upstream.zoneName + " at "
                         + upstream.address.toString(),
-                isCarried ? "" : "no row has this service: nothing reaches it");
+                hasRow ? "" : "no row has this service, so the upstream gets no requests");
 }
 
 auto addRemoved(const Upstream &upstream, ChangeList &changes) -> void
--- a/tests/unit/addresstest.cpp
+++ b/tests/unit/addresstest.cpp
@@ -1,11 +1,11 @@
-/// Addresses as text.
+/// Tests for parsing and formatting addresses.
 #include <flamingograde/address.h>
 
 #include <catch2/catch.hpp>
 
 using namespace flamingograde;
 
-TEST_CASE("addresses survive writing and reading", "[address]")
+TEST_CASE("formatting a parsed address returns the same text", "[address]")
 {
     for (const auto *text : { "10.0.0.1:80", "1.2.3.4:0", "255.255.255.255:65535" }) {
         const auto address = Address::parse(text);
@@ -16,7 +16,7 @@
     CHECK(Address { 0x0A000001, 80 }.ipText() == "10.0.0.1");
 }
 
-TEST_CASE("texts that are no addresses are refused", "[address]")
+TEST_CASE("parsing an invalid address returns an error message", "[address]")
 {
     for (const auto *text :
          { "", ":", "10.0.0.1", "10.0.0.1:", ":80", "10.0.0:80", "10.0.0.256:80", "10.0.0.1:65536",
--- a/tests/unit/ctltest.cpp
+++ b/tests/unit/ctltest.cpp
@@ -1,4 +1,4 @@
-/// The operators' command line, run as a process.
+/// Tests for the operators' command-line tool; each test runs it as a process.
 #include <flamingograde/address.h>
 
 #include <catch2/catch.hpp>
@@ -19,12 +19,12 @@
 
 const std::string example = FLAMINGOGRADE_SOURCE_FOLDER "/examples/association.toml";
 
-/// A command that runs; its output and errors are read together.
+/// A running flamingogradectl process; captures standard output and standard error together.
 class Run
 {
 public:
-    explicit Run(const std::string &words)
-        : pipe(popen((FLAMINGOGRADECTL " " + words + " 2>&1").c_str(), "r"))
+    explicit Run(const std::string &commandLine)
+        : pipe(popen((FLAMINGOGRADECTL " " + commandLine + " 2>&1").c_str(), "r"))
     {
         REQUIRE(this->pipe != nullptr);
     }
@@ -37,7 +37,7 @@
     Run(const Run &) = delete;
     auto operator=(const Run &) -> Run & = delete;
 
-    /// Waits for the end. @returns the exit status.
+    /// Waits until the process ends. @returns the exit status.
     auto finish() -> int
     {
         std::array<char, 4096> part {};
@@ -51,7 +51,7 @@
         return WEXITSTATUS(status);
     }
 
-    [[nodiscard]] auto hasSaid(const std::string &text) const -> bool
+    [[nodiscard]] auto outputContains(const std::string &text) const -> bool
     {
         return this->output.find(text) != std::string::npos;
     }
@@ -62,11 +62,11 @@
     FILE *pipe;
 };
 
-/// An admin address that answers one call.
-class AdminStandIn
+/// A server in place of a host's admin address; answers one call at a time.
+class FakeAdminServer
 {
 public:
-    AdminStandIn() : listener(socket(AF_INET, SOCK_STREAM, 0))
+    FakeAdminServer() : listener(socket(AF_INET, SOCK_STREAM, 0))
     {
         sockaddr_in name {};
         name.sin_family = AF_INET;
@@ -77,11 +77,11 @@
         getsockname(this->listener, reinterpret_cast<sockaddr *>(&name), &size);
         this->address = { INADDR_LOOPBACK, ntohs(name.sin_port) };
     }
-    ~AdminStandIn() { close(this->listener); }
-    AdminStandIn(const AdminStandIn &) = delete;
-    auto operator=(const AdminStandIn &) -> AdminStandIn & = delete;
+    ~FakeAdminServer() { close(this->listener); }
+    FakeAdminServer(const FakeAdminServer &) = delete;
+    auto operator=(const FakeAdminServer &) -> FakeAdminServer & = delete;
 
-    /// Takes one call and answers it. @returns the request's first line.
+    /// Accepts one call and answers it. @returns the first line of the request.
     [[nodiscard]] auto answer(const std::string &status, const std::string &body) const
             -> std::string
     {
@@ -108,39 +108,39 @@
 
 } // namespace
 
-TEST_CASE("check ends with 0 for a clean table and 1 for findings", "[ctl]")
+TEST_CASE("check exits with 0 for a valid table and with 1 for findings", "[ctl]")
 {
-    Run clean("check " + example);
-    CHECK(clean.finish() == 0);
-    CHECK(clean.hasSaid("no fault; 5 rows, 18 upstreams"));
+    Run valid("check " + example);
+    CHECK(valid.finish() == 0);
+    CHECK(valid.outputContains("no fault; 5 rows, 18 upstreams"));
     Run missing("check /nonexistent/table.toml");
     CHECK(missing.finish() == 1);
     CHECK(missing.output == "/nonexistent/table.toml: the file cannot be read (check its path)\n");
     Run faulty("check " FLAMINGOGRADE_SOURCE_FOLDER "/examples/hosts/lahore-a.toml");
     CHECK(faulty.finish() == 1);
-    CHECK(faulty.hasSaid("lahore-a.toml:3:2: a table has no section \"host\""));
+    CHECK(faulty.outputContains("lahore-a.toml:3:2: a table has no section \"host\""));
 }
 
-TEST_CASE("show and diff print tables and changes", "[ctl]")
+TEST_CASE("show prints a table, and diff prints the changes between two tables", "[ctl]")
 {
     Run show("show " + example);
     CHECK(show.finish() == 0);
-    CHECK(show.hasSaid("pack-feed    live-pack     10.9.0.1:80  feed"));
+    CHECK(show.outputContains("pack-feed    live-pack     10.9.0.1:80  feed"));
     Run same("diff " + example + " " + example);
     CHECK(same.finish() == 0);
     CHECK(same.output.empty());
     Run other("diff " + example + " " FLAMINGOGRADE_SOURCE_FOLDER "/examples/hamsaya.toml");
     CHECK(other.finish() == 1);
-    CHECK(other.hasSaid("warning: row \"notice-feed\"") == false);
-    CHECK(other.hasSaid("warning: row \"pack-feed\" removed"));
+    CHECK(other.outputContains("warning: row \"notice-feed\"") == false);
+    CHECK(other.outputContains("warning: row \"pack-feed\" removed"));
 }
 
-TEST_CASE("wrong usage ends with 2 and a hint at the nearest word", "[ctl]")
+TEST_CASE("a usage error exits with 2 and prints a hint", "[ctl]")
 {
-    for (const auto &[words, hint] : std::vector<std::pair<std::string, std::string>> {
+    for (const auto &[commandLine, hint] : std::vector<std::pair<std::string, std::string>> {
                  { "", "give a command" },
                  { "chekc x", "did you mean check?" },
-                 { "nonsense", "its commands are check, show, diff, dump, explain or drain" },
+                 { "nonsense", "the commands are check, show, diff, dump, explain or drain" },
                  { "check", "check takes FILE" },
                  { "diff " + example, "diff takes OLD NEW" },
                  { "--hepl", "did you mean --help?" },
@@ -148,28 +148,28 @@
                  { "explain 127.0.0.1:1", "explain needs --address" },
                  { "dump nowhere", "give its admin address IP:PORT" },
                  { "dump 127.0.0.1:1 --timeout soon", "--timeout takes milliseconds" } }) {
-        INFO(words);
-        Run run(words);
+        INFO(commandLine);
+        Run run(commandLine);
         CHECK(run.finish() == 2);
-        CHECK(run.hasSaid(hint));
+        CHECK(run.outputContains(hint));
     }
 }
 
-TEST_CASE("help and version are everywhere", "[ctl]")
+TEST_CASE("every command accepts --help and --version", "[ctl]")
 {
     for (const auto *command : { "", "check", "show", "diff", "dump", "explain", "drain" }) {
         Run help(std::string(command) + " --help");
         CHECK(help.finish() == 0);
-        CHECK(help.hasSaid("Usage: flamingogradectl " + std::string(command)));
+        CHECK(help.outputContains("Usage: flamingogradectl " + std::string(command)));
         Run version(std::string(command) + " --version");
         CHECK(version.finish() == 0);
         CHECK(version.output == "flamingogradectl " FLAMINGOGRADE_VERSION "\n");
     }
 }
 
-TEST_CASE("hosts are asked at their admin address", "[ctl]")
+TEST_CASE("dump, explain and drain call the host's admin address and print its response", "[ctl]")
 {
-    const AdminStandIn host;
+    const FakeAdminServer host;
     const auto name = host.address.toString();
     Run dump("dump " + name);
     CHECK(host.answer("200 OK", "{\"a\":1}") == "GET /dump HTTP/1.1");
@@ -185,10 +185,10 @@
     CHECK(drain.output == "flamingogradectl: " + name + " answered 503\nbusy\n");
 }
 
-TEST_CASE("a host that does not answer is given up", "[ctl]")
+TEST_CASE("dump exits with 1 when the host does not respond before the timeout", "[ctl]")
 {
-    const AdminStandIn host;
+    const FakeAdminServer host;
     Run silent("dump " + host.address.toString() + " --timeout 50");
     CHECK(silent.finish() == 1);
-    CHECK(silent.hasSaid("no whole answer: "));
+    CHECK(silent.outputContains("received no response or not the whole response: "));
 }
--- a/tests/unit/sampletable.h
+++ b/tests/unit/sampletable.h
@@ -1,4 +1,4 @@
-/// A table of two services in two zones for tests.
+/// Sample tables for tests: two services in one or two zones.
 #pragma once
 
 #include <flamingograde/tableparser.h>
@@ -14,7 +14,9 @@
 inline constexpr auto voteAddress = "10.9.0.3:80";
 inline constexpr auto uploadAddress = "10.9.0.4:80";
 
-/// Returns the text of one upstream.
+/// Returns the TOML of one upstream.
+/// @param number the last byte of its IPv4 address.
+/// @param more further fields, in TOML.
 inline auto upstreamText(const std::string &name, const std::string &service,
                          const std::string &zone, int number, const std::string &more = {})
         -> std::string
@@ -23,7 +25,9 @@
            + "\"\naddress = \"10.1.1." + std::to_string(number) + ":80\"\n" + more + "\n";
 }
 
-/// Returns the text of the rows and of one token key with each id; the last one signs.
+/// Returns the TOML of the four sample rows and of one token key for each digit of `keyIds`; the
+/// last key signs.
+/// @param voteMore further fields of the row "votes", in TOML.
 inline auto rowsText(const std::string &keyIds = "1", const std::string &voteMore = {})
         -> std::string
 {
@@ -45,7 +49,7 @@
     return text;
 }
 
-/// Returns the table of a text. Precondition: it has no fault.
+/// Parses `text`; fails the test if it has errors.
 inline auto tableOf(const std::string &text) -> Table
 {
     auto table = parseTable(text, "table");
@@ -55,7 +59,8 @@
     return *table;
 }
 
-/// Returns a table with three upstreams of "packs" and one of "intake" in each of zones a and b.
+/// Returns the TOML of a table with three upstreams of "packs" and one of "intake" in each of the
+/// zones a and b.
 inline auto sampleTable() -> std::string
 {
     auto text = rowsText();
@@ -68,7 +73,7 @@
     return text;
 }
 
-/// Returns a table with three upstreams of "packs" and one of "intake" in zone a.
+/// Returns the TOML of a table with three upstreams of "packs" and one of "intake" in zone a.
 inline auto oneZoneTable() -> std::string
 {
     auto text = rowsText();
@@ -78,7 +83,8 @@
     return text + upstreamText("ia1", "intake", "a", 21);
 }
 
-/// Returns a table whose votes have a deadline longer than a stop may take.
+/// Returns the TOML of a table whose row "votes" has a deadline of 300 s, longer than the stop
+/// timeout of a host.
 inline auto longDeadlineTable() -> std::string
 {
     return rowsText("1", "deadline_ms = 300000\n") + upstreamText("pa1", "packs", "a", 1)
--- a/tests/unit/tabledifftest.cpp
+++ b/tests/unit/tabledifftest.cpp
@@ -1,4 +1,4 @@
-/// What an edit changes, in words, and how tables are printed.
+/// Tests for the comparison of two tables and for printing a table.
 #include <flamingograde/table.h>
 #include <flamingograde/tablediff.h>
 #include <flamingograde/tableparser.h>
@@ -46,8 +46,8 @@
     return upstream;
 }
 
-/// The parts of a table, to be edited.
-struct Parts
+/// The entries of a sample table, for a test to edit.
+struct TableParts
 {
     std::vector<Row> rows { makeRow("resolutions", "live", 1), makeRow("papers", "paper", 2) };
     std::vector<Upstream> upstreams { makeUpstream("a", "live", "z1", 11),
@@ -63,17 +63,18 @@
     }
 };
 
-auto changesTo(const Parts &after) -> std::vector<std::string>
+/// Returns the changes from the sample table to `after`.
+auto changesTo(const TableParts &after) -> std::vector<std::string>
 {
     std::vector<std::string> texts;
-    for (const auto &change : diffTables(Parts().table(), after.table())) {
+    for (const auto &change : diffTables(TableParts().table(), after.table())) {
         texts.push_back(change.toString());
     }
     return texts;
 }
 
-/// Returns whether a change begins with `text`.
-auto says(const std::vector<std::string> &changes, const std::string &text) -> bool
+/// Returns whether the text of a change begins with `text`.
+auto hasChange(const std::vector<std::string> &changes, const std::string &text) -> bool
 {
     return std::any_of(changes.begin(), changes.end(),
                        [&text](const auto &change) { return change.rfind(text, 0) == 0; });
@@ -81,14 +82,14 @@
 
 } // namespace
 
-TEST_CASE("equal tables have no changes", "[tablediff]")
+TEST_CASE("the diff of equal tables is empty", "[tablediff]")
 {
-    CHECK(changesTo(Parts()).empty());
+    CHECK(changesTo(TableParts()).empty());
 }
 
-TEST_CASE("plain edits are told field by field", "[tablediff]")
+TEST_CASE("the diff lists each changed field", "[tablediff]")
 {
-    Parts after;
+    TableParts after;
     after.rows[0].weight = 4;
     after.rows[0].queue = 7;
     after.rows[1].deadline = std::chrono::seconds(9);
@@ -96,68 +97,70 @@
     after.keys.push_back({ 2, {}, false });
     CHECK(changesTo(after)
           == std::vector<std::string> {
-                  "token key 2 added, to verify only", "row \"resolutions\": weight 1 -> 4",
+                  "token key 2 added, for verification only", "row \"resolutions\": weight 1 -> 4",
                   "row \"resolutions\": queue 100 -> 7", "row \"papers\": deadline_ms 5000 -> 9000",
                   "upstream \"p\": connections 2000 -> 5" });
 }
 
-TEST_CASE("added and removed entries are told", "[tablediff]")
+TEST_CASE("the diff lists added and removed entries", "[tablediff]")
 {
-    Parts after;
+    TableParts after;
     after.rows[1] = makeRow("late", "paper", 3);
     after.upstreams[4] = makeUpstream("q", "paper", "z1", 16);
     after.upstreams.push_back(makeUpstream("r", "papr", "z1", 17));
     const auto changes = changesTo(after);
-    CHECK(says(changes, "row \"late\" added: request of service \"paper\" at 10.1.1.3:80"));
-    CHECK(says(changes, "warning: row \"papers\" removed: 10.1.1.2:80"));
-    CHECK(says(changes, "upstream \"q\" added, active: service \"paper\" in zone z1 at "));
-    CHECK(says(changes, "warning: upstream \"r\" added, active: service \"papr\""));
-    CHECK(says(changes, "warning: upstream \"p\" removed from service \"paper\": it was active"));
+    CHECK(hasChange(changes, "row \"late\" added: request of service \"paper\" at 10.1.1.3:80"));
+    CHECK(hasChange(changes, "warning: row \"papers\" removed: 10.1.1.2:80"));
+    CHECK(hasChange(changes, "upstream \"q\" added, active: service \"paper\" in zone z1 at "));
+    CHECK(hasChange(changes, "warning: upstream \"r\" added, active: service \"papr\""));
+    CHECK(hasChange(changes,
+                    "warning: upstream \"p\" removed from service \"paper\": it was active"));
 }
 
-TEST_CASE("an address that reaches another service is a warning", "[tablediff]")
+TEST_CASE("an address that moves to another service is a warning", "[tablediff]")
 {
-    Parts after;
+    TableParts after;
     after.upstreams[4].address = address(99);
     after.upstreams.push_back(makeUpstream("e", "live", "z1", 15));
-    CHECK(says(changesTo(after), "warning: address 10.1.1.15:80: service \"paper\" -> \"live\""));
-    Parts moved;
+    CHECK(hasChange(changesTo(after),
+                    "warning: address 10.1.1.15:80: service \"paper\" -> \"live\""));
+    TableParts moved;
     moved.rows[1].serviceName = "live";
     moved.rows[1].service = ServiceId::ofName("live");
-    CHECK(says(changesTo(moved), "warning: row \"papers\": service paper -> live"));
+    CHECK(hasChange(changesTo(moved), "warning: row \"papers\": service paper -> live"));
 }
 
-TEST_CASE("a service without active upstream is a warning", "[tablediff]")
+TEST_CASE("a service without an active upstream is a warning", "[tablediff]")
 {
-    Parts after;
+    TableParts after;
     after.upstreams[4].state = UpstreamState::Draining;
     const auto changes = changesTo(after);
-    CHECK(says(changes, "upstream \"p\": state active -> draining"));
-    CHECK(says(changes, "warning: service \"paper\" has no active upstream"));
+    CHECK(hasChange(changes, "upstream \"p\": state active -> draining"));
+    CHECK(hasChange(changes, "warning: service \"paper\" has no active upstream"));
 }
 
-TEST_CASE("a signing key that did not verify before is a warning", "[tablediff]")
+TEST_CASE("a signing key that hosts could not verify before is a warning", "[tablediff]")
 {
-    Parts after;
+    TableParts after;
     after.keys = { { 1, {}, false }, { 2, {}, true } };
     const auto changes = changesTo(after);
-    CHECK(says(changes, "token key 1: only verifies"));
-    CHECK(says(changes, "warning: token key 2 added and signs at once"));
+    CHECK(hasChange(changes, "token key 1: no longer signs tokens, only verifies them"));
+    CHECK(hasChange(changes, "warning: token key 2 added and signs at once"));
     after.keys = { { 1, { 7 }, true } };
-    CHECK(says(changesTo(after), "warning: token key 1: another secret"));
+    CHECK(hasChange(changesTo(after), "warning: token key 1: secret changed"));
     after.keys = { { 2, {}, true } };
-    CHECK(says(changesTo(after), "warning: token key 1 removed"));
+    CHECK(hasChange(changesTo(after), "warning: token key 1 removed"));
 }
 
-TEST_CASE("a key is rolled without a warning in three edits", "[tablediff]")
+TEST_CASE("no warning is given when a token key is rotated in three edits", "[tablediff]")
 {
     const std::vector<std::vector<TokenKey>> steps { { { 1, {}, true } },
                                                      { { 1, {}, true }, { 2, { 7 }, false } },
                                                      { { 1, {}, false }, { 2, { 7 }, true } },
                                                      { { 2, { 7 }, true } } };
-    Parts before;
+    TableParts before;
     for (const auto &keys : steps) {
-        Parts after;
+        TableParts after;
         after.keys = keys;
         for (const auto &change : diffTables(before.table(), after.table())) {
             CHECK_FALSE(change.isDangerous());
@@ -166,30 +169,30 @@
     }
 }
 
-TEST_CASE("slots that shift keys between zones are a warning", "[tablediff]")
+TEST_CASE("a change of slots that moves idempotency keys between zones is a warning", "[tablediff]")
 {
-    Parts after;
+    TableParts after;
     after.upstreams[0].state = UpstreamState::Draining;
     const auto changes = changesTo(after);
-    CHECK(says(changes, "service \"live\": active slots 8 -> 6"));
-    // z1 falls from 1/2 to 1/3 of the keys, so that 1/6 of them move.
-    CHECK(says(changes, "warning: service \"live\": about 17% of its idempotency keys move"));
+    CHECK(hasChange(changes, "service \"live\": active slots 8 -> 6"));
+    // The share of z1 falls from 1/2 to 1/3 of the keys, so 1/6 of all keys move.
+    CHECK(hasChange(changes, "warning: service \"live\": about 17% of its idempotency keys move"));
     after.upstreams[2].state = UpstreamState::Draining;
     CHECK(changesTo(after).size() == 3);
     after.upstreams[1].state = UpstreamState::Draining;
-    CHECK(says(changesTo(after), "warning: service \"live\": active slots 8 -> 2"));
+    CHECK(hasChange(changesTo(after), "warning: service \"live\": active slots 8 -> 2"));
 }
 
-TEST_CASE("a row that may be run more than once is a warning", "[tablediff]")
+TEST_CASE("making a row idempotent is a warning", "[tablediff]")
 {
-    Parts after;
+    TableParts after;
     after.rows[0].idempotent = true;
-    CHECK(says(changesTo(after), "warning: row \"resolutions\": idempotent false -> true"));
+    CHECK(hasChange(changesTo(after), "warning: row \"resolutions\": idempotent false -> true"));
 }
 
 TEST_CASE("a table is printed in aligned columns without secrets", "[tableprinter]")
 {
-    Parts parts;
+    TableParts parts;
     parts.keys[0].secret.fill(0xAB);
     parts.upstreams[0].state = UpstreamState::Draining;
     const auto text = printTable(parts.table());
--- a/tests/unit/tableparsertest.cpp
+++ b/tests/unit/tableparsertest.cpp
@@ -1,4 +1,4 @@
-/// The parser of tables: what it reads, and every fault with its place.
+/// Tests for the table parser: the values it reads, and the message and position of each error.
 #include "tabletext.h"
 
 #include "table/idnames.h"
@@ -19,7 +19,7 @@
 
 namespace {
 
-const std::string goodText = R"([[token_key]]
+const std::string validText = R"([[token_key]]
 id      = 1
 secret  = "00112233445566778899aabbccddeeff"
 signing = true
@@ -70,7 +70,7 @@
     return text.replace(at, from.size(), to);
 }
 
-/// Returns line and column of the first `mark` in `text`.
+/// Returns the line and column of the first `mark` in `text`, counted from 1.
 auto placeOf(const std::string &text, const std::string &mark)
         -> std::pair<std::uint32_t, std::uint32_t>
 {
@@ -96,20 +96,20 @@
     return { std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>() };
 }
 
-/// An edit of the good text that makes one fault.
-struct Fault
+/// An edit of `validText` that causes exactly one error.
+struct InvalidEdit
 {
     std::string from;
     std::string to;
-    std::string mark; ///< Where the finding is.
-    std::string what; ///< A part of what it says.
-    std::string mend; ///< A part of its hint.
+    std::string mark; ///< The text at whose start the finding is located.
+    std::string what; ///< A part of the message.
+    std::string mend; ///< A part of the hint.
 };
 
-const std::vector<Fault> faults {
+const std::vector<InvalidEdit> invalidEdits {
     { "\"feed\"", "\"a b\"", "\"a b\"", "not a name", "letters" },
     { "\"feed\"", "\"" + std::string(65, 'x') + "\"", "\"xx", "not a name", "1 to 64" },
-    { "\"feed\"", "7", "7\nservice", "not a text", "quotation" },
+    { "\"feed\"", "7", "7\nservice", "not a text string", "quotation" },
     { "\"up-2\"", "\"up-1\"", "\"up-1\"\nservice     = \"live\"\nzone        = \"z2", "line 30",
       "own name" },
     { "\"up-2\"", "\"feed\"", "\"feed\"\nservice     = \"live\"\nzone        = \"z2", "line 11",
@@ -123,7 +123,7 @@
     { "10.9.0.2:80", "10.9.0.2:0", "\"10.9.0.2:0", "port 0", "1 to 65535" },
     { "10.9.0.2:80", "10.9.0.2:65536", "\"10.9.0.2:65536", "no port from", "IP:PORT" },
     { "10.9.0.2:80", "0.0.0.0:80", "\"0.0.0.0", "no host", "IP:PORT" },
-    { "10.9.0.2:80", "239.0.0.2:80", "\"239", "one host", "unicast" },
+    { "10.9.0.2:80", "239.0.0.2:80", "\"239", "unicast address of a host", "unicast" },
     { "kind        = \"feed\"\n", "", "[[row]]", "has no kind", "add a line" },
     { "zone        = \"z2\"\n", "", "[[upstream]]\nname        = \"up-2", "no zone", "add" },
     { "\"request\"", "\"reqest\"", "\"reqest\"", "kind", "\"request\"?" },
@@ -157,9 +157,9 @@
 
 } // namespace
 
-TEST_CASE("a table is read as written", "[table]")
+TEST_CASE("every field of a valid table is read", "[table]")
 {
-    const auto table = parseTable(goodText, "good");
+    const auto table = parseTable(validText, "good");
     REQUIRE(table);
     REQUIRE(table->rows().size() == 2);
     const auto &row = table->rows()[1];
@@ -187,27 +187,27 @@
     CHECK(table->tokenKeys()[1].secret[0] == 0x0F);
 }
 
-TEST_CASE("each fault is told once, with its place and how to mend it", "[table]")
+TEST_CASE("each error is reported once, with its position and a hint", "[table]")
 {
-    for (const auto &fault : faults) {
-        const auto text = replaced(goodText, fault.from, fault.to);
-        INFO(fault.to);
+    for (const auto &edit : invalidEdits) {
+        const auto text = replaced(validText, edit.from, edit.to);
+        INFO(edit.to);
         const auto table = parseTable(text, "bad.toml");
         REQUIRE_FALSE(table);
         REQUIRE(table.error().size() == 1);
         const auto &finding = table.error().front();
         INFO(finding.toString());
-        const auto [line, column] = placeOf(text, fault.mark);
+        const auto [line, column] = placeOf(text, edit.mark);
         CHECK(finding.line == line);
         CHECK(finding.column == column);
-        CHECK(finding.what.find(fault.what) != std::string::npos);
-        CHECK(finding.mend.find(fault.mend) != std::string::npos);
+        CHECK(finding.what.find(edit.what) != std::string::npos);
+        CHECK(finding.mend.find(edit.mend) != std::string::npos);
     }
 }
 
-TEST_CASE("a text with many faults tells all of them in order", "[table]")
+TEST_CASE("a text with many errors causes one finding for each, sorted by position", "[table]")
 {
-    auto text = goodText;
+    auto text = validText;
     std::size_t edits = 0;
     for (const auto &[from, to] : std::vector<std::pair<std::string, std::string>> {
                  { "id      = 2", "id = 999" },
@@ -228,22 +228,23 @@
     CHECK(table.error().size() == edits);
     CHECK(isSorted(table.error()));
     CHECK(table.error().front().toString()
-          == "bad.toml:7:6: id is 999, out of its range (give a whole number from 0 to 255)");
+          == "bad.toml:7:6: id is 999, out of range (give a whole number from 0 to 255)");
 }
 
-TEST_CASE("an unreadable header hides only its own section", "[table]")
+TEST_CASE("a section header that cannot be parsed does not hide errors in other sections",
+          "[table]")
 {
-    const auto text = replaced(replaced(goodText, "[[row]]", "[[row"), "\"z2\"", "2");
+    const auto text = replaced(replaced(validText, "[[row]]", "[[row"), "\"z2\"", "2");
     const auto table = parseTable(text, "bad.toml");
     REQUIRE_FALSE(table);
     REQUIRE(table.error().size() == 2);
     CHECK(table.error()[0].line == placeOf(text, "[[row").first);
-    CHECK(table.error()[1].what == "zone is not a text");
+    CHECK(table.error()[1].what == "zone is not a text string");
 }
 
-TEST_CASE("single brackets are told for each section", "[table]")
+TEST_CASE("section headers with single brackets are reported", "[table]")
 {
-    auto text = goodText;
+    auto text = validText;
     for (int i = 0; i < 2; ++i) {
         text = replaced(replaced(text, "[[row]]", "[row]"), "[[upstream]]", "[upstream]");
     }
@@ -254,7 +255,7 @@
     CHECK(table.error()[3].what.find("redefine") != std::string::npos);
 }
 
-TEST_CASE("a table without rows, and one that is too large, are faults", "[table]")
+TEST_CASE("a table that is empty, too large or without lists of entries is refused", "[table]")
 {
     const auto empty = parseTable("", "empty");
     REQUIRE_FALSE(empty);
@@ -268,7 +269,8 @@
     CHECK(single.error().size() == 5);
 }
 
-TEST_CASE("a large text of nothing but faults is refused with a bounded list", "[table]")
+TEST_CASE("a large text of nothing but errors is refused with a limited number of findings",
+          "[table]")
 {
     std::string headers;
     while (headers.size() + 8 < config::tableBytesMax) {
@@ -277,7 +279,7 @@
     const auto table = parseTable(headers, "headers");
     REQUIRE_FALSE(table);
     CHECK(table.error().size() == config::findingsMax + 1);
-    CHECK(table.error().back().mend == "mend these first");
+    CHECK(table.error().back().mend == "fix these first");
     const auto broken = parseTable(std::string(config::tableBytesMax, '['), "broken");
     REQUIRE_FALSE(broken);
     const auto lines = parseTable(replaced(headers, "[[row]]", "x") + "=", "lines");
@@ -285,23 +287,24 @@
     CHECK(lines.error().front().line == 1);
 }
 
-TEST_CASE("names with one id are told", "[table]")
+TEST_CASE("IdNames returns the first name when two names have the same id", "[table]")
 {
     IdNames<RowId> names;
-    CHECK(names.note(RowId(7), "a").empty());
-    CHECK(names.note(RowId(7), "a").empty());
-    CHECK(names.note(RowId(7), "b") == "a");
+    CHECK(names.record(RowId(7), "a").empty());
+    CHECK(names.record(RowId(7), "a").empty());
+    CHECK(names.record(RowId(7), "b") == "a");
 }
 
-TEST_CASE("a table without active upstream is legal", "[table]")
+TEST_CASE("a table without an active upstream is valid", "[table]")
 {
-    CHECK(parseTable(replaced(goodText, "\"10.1.1.2:80\"", "\"10.1.1.2:80\"\nstate = \"draining\""),
-                     "drained"));
+    CHECK(parseTable(
+            replaced(validText, "\"10.1.1.2:80\"", "\"10.1.1.2:80\"\nstate = \"draining\""),
+            "drained"));
 }
 
-TEST_CASE("tables survive writing and reading", "[table]")
+TEST_CASE("parsing a written table returns an equal table", "[table]")
 {
-    for (const auto &text : { goodText, readExample("association.toml"),
+    for (const auto &text : { validText, readExample("association.toml"),
                               readExample("hamsaya.toml"), writeTable(makeTable(1, 20, 10, 3)) }) {
         const auto table = parseTable(text, "text");
         REQUIRE(table);
@@ -312,7 +315,7 @@
     }
 }
 
-TEST_CASE("the examples have no fault and their true sizes", "[table]")
+TEST_CASE("the example tables have no errors and the expected number of entries", "[table]")
 {
     for (const auto &[file, zones, service] :
          { std::tuple { "association.toml", 4U, "live-pack" },
@@ -326,16 +329,16 @@
     }
 }
 
-TEST_CASE("damaged tables neither crash nor throw", "[table]")
+TEST_CASE("parsing randomly damaged tables does not throw, and its findings are sorted", "[table]")
 {
     constexpr int mutations = 5000;
-    constexpr std::string_view letters = "[]\"'=.{}#\\\n\t \x01\x80\xff"
-                                         "0-ex,";
+    constexpr std::string_view characters = "[]\"'=.{}#\\\n\t \x01\x80\xff"
+                                            "0-ex,";
     const auto example = readExample("association.toml");
     std::mt19937 random(11);
     std::size_t refused = 0;
     for (int i = 0; i < mutations; ++i) {
-        auto text = i % 2 == 0 ? goodText : example;
+        auto text = i % 2 == 0 ? validText : example;
         for (auto edits = 1 + random() % 8; edits > 0; --edits) {
             const auto at = random() % text.size();
             const auto length = random() % 12;
@@ -350,7 +353,7 @@
                 text[at] = static_cast<char>(random());
                 break;
             default:
-                text.insert(at, 1 + random() % 3, letters[random() % letters.size()]);
+                text.insert(at, 1 + random() % 3, characters[random() % characters.size()]);
             }
         }
         tl::expected<Table, Findings> table;
--- a/tests/unit/tabletext.h
+++ b/tests/unit/tabletext.h
@@ -1,7 +1,7 @@
-/// Writes the text of tables for tests and benches.
+/// Builds tables and writes them as TOML, for tests and benchmarks.
 #pragma once
 
-#include "table/words.h"
+#include "table/formatting.h"
 
 #include <flamingograde/table.h>
 
@@ -11,7 +11,7 @@
 
 namespace flamingograde {
 
-/// Returns the text from which `parseTable` reads `table`.
+/// Returns `table` as TOML that `parseTable` accepts.
 inline auto writeTable(const Table &table) -> std::string
 {
     std::ostringstream text;
@@ -41,10 +41,11 @@
     return text.str();
 }
 
-/// Returns one part of a large table: `services` services with one row and `upstreamsEach`
-/// upstreams each, over `zones` zones.
-/// @param part tells apart the parts: their names and addresses differ.
-inline auto makeTable(std::size_t part, std::size_t services, std::size_t upstreamsEach,
+/// Returns one part of a large table: `services` services, each with one row and
+/// `upstreamsPerService` upstreams, which are spread over `zones` zones. The ids are not set;
+/// `parseTable` sets them.
+/// @param part the number of the part; names and addresses differ between parts.
+inline auto makeTable(std::size_t part, std::size_t services, std::size_t upstreamsPerService,
                       std::size_t zones) -> Table
 {
     constexpr std::uint16_t port = 80;
@@ -59,7 +60,7 @@
         row.serviceName = service;
         row.address = { rowIp++, port };
         rows.push_back(row);
-        for (std::size_t j = 0; j < upstreamsEach; ++j) {
+        for (std::size_t j = 0; j < upstreamsPerService; ++j) {
             Upstream upstream;
             upstream.name = service + "-" + std::to_string(j);
             upstream.serviceName = service;
--- a/tools/flamingogradectl/arguments.cpp
+++ b/tools/flamingogradectl/arguments.cpp
@@ -1,4 +1,4 @@
-/// Reads the command line with popt.
+/// Parses command lines with popt.
 #include "arguments.h"
 
 #include "table/nearest.h"
@@ -17,18 +17,18 @@
 constexpr int versionValue = 2;
 constexpr int firstOptionValue = 3;
 
-struct ContextDeleter
+struct PoptContextDeleter
 {
     auto operator()(poptContext context) const -> void { poptFreeContext(context); }
 };
 
-using Context = std::unique_ptr<poptContext_s, ContextDeleter>;
+using PoptContextPtr = std::unique_ptr<poptContext_s, PoptContextDeleter>;
 
-/// The form in which popt takes a syntax and words. The context points into it.
-class PoptInput
+/// A popt context with the option table and the argument list that it points into.
+class PoptParser
 {
 public:
-    PoptInput(const Syntax &syntax, const std::vector<std::string> &words)
+    PoptParser(const Syntax &syntax, const std::vector<std::string> &rawArguments)
     {
         this->addOption("help", POPT_ARG_NONE, helpValue, "print this help", nullptr);
         this->addOption("version", POPT_ARG_NONE, versionValue, "print the version", nullptr);
@@ -39,8 +39,8 @@
         }
         this->options.push_back(poptOption {});
         this->argv.push_back(syntax.program.c_str());
-        for (const auto &word : words) {
-            this->argv.push_back(word.c_str());
+        for (const auto &argument : rawArguments) {
+            this->argv.push_back(argument.c_str());
         }
         const unsigned flags = syntax.stopsAtOperand ? POPT_CONTEXT_POSIXMEHARDER : 0;
         const auto count = static_cast<int>(this->argv.size());
@@ -61,7 +61,7 @@
 
     std::vector<poptOption> options;
     std::vector<const char *> argv;
-    Context popt;
+    PoptContextPtr popt;
 };
 
 auto optionNames(const Syntax &syntax) -> std::vector<std::string_view>
@@ -73,19 +73,19 @@
     return names;
 }
 
-auto explainError(const Syntax &syntax, poptContext context, int error) -> std::string
+auto describeError(const Syntax &syntax, poptContext context, int error) -> std::string
 {
-    const std::string bad = poptBadOption(context, POPT_BADOPTION_NOALIAS);
-    auto text = bad + ": " + poptStrerror(error);
-    const auto word = bad.substr(std::min(bad.find_first_not_of('-'), bad.size()));
-    const auto meant = nearestWord(word.substr(0, word.find('=')), optionNames(syntax));
-    if (error == POPT_ERROR_BADOPT && !meant.empty()) {
-        text += "; did you mean --" + std::string(meant) + "?";
+    const std::string option = poptBadOption(context, POPT_BADOPTION_NOALIAS);
+    auto text = option + ": " + poptStrerror(error);
+    const auto name = option.substr(std::min(option.find_first_not_of('-'), option.size()));
+    const auto suggestion = nearestWord(name.substr(0, name.find('=')), optionNames(syntax));
+    if (error == POPT_ERROR_BADOPT && !suggestion.empty()) {
+        text += "; did you mean --" + std::string(suggestion) + "?";
     }
     return text;
 }
 
-auto takeOption(const Syntax &syntax, poptContext context, int value, Arguments &arguments) -> void
+auto storeOption(const Syntax &syntax, poptContext context, int value, Arguments &arguments) -> void
 {
     if (value == helpValue) {
         arguments.help = true;
@@ -102,30 +102,30 @@
 
 } // namespace
 
-auto readArguments(const Syntax &syntax, const std::vector<std::string> &words)
+auto readArguments(const Syntax &syntax, const std::vector<std::string> &rawArguments)
         -> tl::expected<Arguments, std::string>
 {
-    const PoptInput input(syntax, words);
+    const PoptParser parser(syntax, rawArguments);
     Arguments arguments;
-    auto value = poptGetNextOpt(input.context());
+    auto value = poptGetNextOpt(parser.context());
     while (value > 0) {
-        takeOption(syntax, input.context(), value, arguments);
-        value = poptGetNextOpt(input.context());
+        storeOption(syntax, parser.context(), value, arguments);
+        value = poptGetNextOpt(parser.context());
     }
     if (value < -1) {
-        return tl::unexpected(explainError(syntax, input.context(), value));
+        return tl::unexpected(describeError(syntax, parser.context(), value));
     }
-    for (const auto **word = poptGetArgs(input.context()); word != nullptr && *word != nullptr;
-         ++word) {
-        arguments.operands.emplace_back(*word);
+    for (const auto **operand = poptGetArgs(parser.context());
+         operand != nullptr && *operand != nullptr; ++operand) {
+        arguments.operands.emplace_back(*operand);
     }
     return arguments;
 }
 
 auto printHelp(const Syntax &syntax) -> void
 {
-    const PoptInput input(syntax, {});
-    poptPrintHelp(input.context(), stdout, 0);
+    const PoptParser parser(syntax, {});
+    poptPrintHelp(parser.context(), stdout, 0);
 }
 
 } // namespace flamingograde::ctl
--- a/tools/flamingogradectl/arguments.h
+++ b/tools/flamingogradectl/arguments.h
@@ -1,4 +1,4 @@
-/// Reads the command line.
+/// Parses command lines.
 #pragma once
 
 #include <tl/expected.hpp>
@@ -9,19 +9,19 @@
 
 namespace flamingograde::ctl {
 
-/// What the command line says.
+/// The parsed command line.
 struct Arguments
 {
     bool help = false;
     bool version = false;
-    std::string address; ///< Of `explain`.
-    std::string token;   ///< Of `explain`.
-    std::string key;     ///< Of `explain`.
-    std::string timeout; ///< Milliseconds to wait for a host.
+    std::string address; ///< `explain`: the address of the row, IP:PORT.
+    std::string token;   ///< `explain`: the token of the flow.
+    std::string key;     ///< `explain`: the idempotency key of the request.
+    std::string timeout; ///< Longest wait for the host, in milliseconds; empty for the default.
     std::vector<std::string> operands;
 };
 
-/// An option that takes a value.
+/// An option that takes a value, and the field of `Arguments` that receives it.
 struct Option
 {
     const char *name;
@@ -30,22 +30,22 @@
     std::string Arguments::*field;
 };
 
-/// How a command line is to be read.
+/// The options and operands that a command line accepts.
 struct Syntax
 {
-    std::string program;         ///< As the help shows it, such as "flamingogradectl check".
-    std::string operands;        ///< As the help shows them, such as "FILE".
-    std::vector<Option> options; ///< Beside --help and --version.
-    bool stopsAtOperand = false; ///< What follows the first operand is not read as options.
+    std::string program;         ///< Shown in the help, such as "flamingogradectl check".
+    std::string operands;        ///< Shown in the help, such as "FILE".
+    std::vector<Option> options; ///< In addition to --help and --version.
+    bool stopsAtOperand = false; ///< Nothing after the first operand is parsed as an option.
 };
 
-/// Reads `words`, the command line without the program's name.
-/// @returns the arguments, or what is wrong with a hint.
+/// Parses `rawArguments`, the command line without the program's name.
+/// @returns the arguments, or an error message that may suggest a correction.
 /// @remarks Thread safe.
-[[nodiscard]] auto readArguments(const Syntax &syntax, const std::vector<std::string> &words)
+[[nodiscard]] auto readArguments(const Syntax &syntax, const std::vector<std::string> &rawArguments)
         -> tl::expected<Arguments, std::string>;
 
-/// Prints how the command is used to standard output.
+/// Prints the usage and the options to standard output.
 /// @remarks Thread safe.
 auto printHelp(const Syntax &syntax) -> void;
 
--- a/tools/flamingogradectl/command.cpp
+++ b/tools/flamingogradectl/command.cpp
@@ -19,17 +19,22 @@
 auto allCommands() -> const std::vector<Command> &
 {
     static const std::vector<Command> commands {
-        { "check", "tell every fault of a table", "FILE", 1, {}, runCheck },
-        { "show", "print a table as a spreadsheet", "FILE", 1, {}, runShow },
-        { "diff", "tell what an edit changes and what is dangerous", "OLD NEW", 2, {}, runDiff },
+        { "check", "report every fault in a table", "FILE", 1, {}, runCheck },
+        { "show", "print a table as aligned columns", "FILE", 1, {}, runShow },
+        { "diff",
+          "report what an edit changes and which changes are dangerous",
+          "OLD NEW",
+          2,
+          {},
+          runDiff },
         { "dump", "print a host's state", "HOST", 1, { timeoutOption }, runDump },
         { "explain",
-          "tell where a request would go now, and why",
+          "report where a request would be routed now, and why",
           "HOST",
           1,
           { addressOption, tokenOption, keyOption, timeoutOption },
           runExplain },
-        { "drain", "stop a host in order", "HOST", 1, { timeoutOption }, runDrain },
+        { "drain", "stop a host gracefully", "HOST", 1, { timeoutOption }, runDrain },
     };
     return commands;
 }
--- a/tools/flamingogradectl/command.h
+++ b/tools/flamingogradectl/command.h
@@ -14,13 +14,13 @@
 {
     std::string_view name;
     std::string_view summary;
-    const char *operands;        ///< As the help shows them.
-    std::size_t operandCount;    ///< Exactly so many are needed.
-    std::vector<Option> options; ///< Beside --help and --version.
+    const char *operands;        ///< Shown in the help.
+    std::size_t operandCount;    ///< The exact number of operands.
+    std::vector<Option> options; ///< In addition to --help and --version.
     ExitCode (*run)(const Arguments &arguments);
 };
 
-/// Returns all sub-commands in the order of the help.
+/// Returns all sub-commands in the order in which the help lists them.
 /// @remarks Thread safe.
 [[nodiscard]] auto allCommands() -> const std::vector<Command> &;
 
--- a/tools/flamingogradectl/exitcode.h
+++ b/tools/flamingogradectl/exitcode.h
@@ -1,13 +1,13 @@
-/// What the program's end says.
+/// Exit status of flamingogradectl.
 #pragma once
 
 namespace flamingograde::ctl {
 
-/// The exit status.
+/// The exit status of the process.
 enum class ExitCode {
-    Clean = 0,    ///< Done, and nothing found.
-    Findings = 1, ///< Something was found, or it failed.
-    Usage = 2,    ///< The command line is wrong.
+    Success = 0,    ///< The command succeeded and found nothing to report.
+    Findings = 1,   ///< The command found errors or dangerous changes, or it failed.
+    UsageError = 2, ///< The command line is invalid.
 };
 
 } // namespace flamingograde::ctl
--- a/tools/flamingogradectl/hostcommands.cpp
+++ b/tools/flamingogradectl/hostcommands.cpp
@@ -1,4 +1,4 @@
-/// The sub-commands that ask a host at its admin address.
+/// The sub-commands that call a host's admin address.
 #include "hostcommands.h"
 
 #include "httpcall.h"
@@ -21,7 +21,7 @@
 auto usageError(const std::string &text) -> ExitCode
 {
     std::cerr << "flamingogradectl: " << text << "\n";
-    return ExitCode::Usage;
+    return ExitCode::UsageError;
 }
 
 auto parseTimeout(const std::string &text) -> std::optional<std::chrono::milliseconds>
@@ -29,13 +29,13 @@
     if (text.empty()) {
         return defaultTimeout;
     }
-    std::uint32_t number = 0;
+    std::uint32_t count = 0;
     const auto *end = text.data() + text.size();
-    const auto [stop, error] = std::from_chars(text.data(), end, number);
-    if (error != std::errc() || stop != end || number == 0) {
+    const auto [stop, error] = std::from_chars(text.data(), end, count);
+    if (error != std::errc() || stop != end || count == 0) {
         return std::nullopt;
     }
-    return std::chrono::milliseconds(number);
+    return std::chrono::milliseconds(count);
 }
 
 auto printBody(const std::string &body) -> void
@@ -56,18 +56,18 @@
     if (!timeout) {
         return usageError("--timeout takes milliseconds, at least 1");
     }
-    const auto answer = httpCall({ *address, method, target, *timeout });
-    if (!answer) {
-        std::cerr << "flamingogradectl: " << host << ": " << answer.error() << "\n";
+    const auto response = httpCall({ *address, method, target, *timeout });
+    if (!response) {
+        std::cerr << "flamingogradectl: " << host << ": " << response.error() << "\n";
         return ExitCode::Findings;
     }
-    if (!answer->isGood()) {
-        std::cerr << "flamingogradectl: " << host << " answered " << answer->status << "\n";
-        printBody(answer->body);
+    if (!response->isSuccess()) {
+        std::cerr << "flamingogradectl: " << host << " answered " << response->status << "\n";
+        printBody(response->body);
         return ExitCode::Findings;
     }
-    printBody(answer->body);
-    return ExitCode::Clean;
+    printBody(response->body);
+    return ExitCode::Success;
 }
 
 } // namespace
--- a/tools/flamingogradectl/hostcommands.h
+++ b/tools/flamingogradectl/hostcommands.h
@@ -1,4 +1,4 @@
-/// The sub-commands that ask a host at its admin address.
+/// The sub-commands that call a host's admin address.
 #pragma once
 
 #include "arguments.h"
@@ -6,13 +6,13 @@
 
 namespace flamingograde::ctl {
 
-/// Prints a host's state.
+/// Prints the state of a host.
 [[nodiscard]] auto runDump(const Arguments &arguments) -> ExitCode;
 
-/// Prints where a request would go now, and why.
+/// Prints where a host would route a request now, and why.
 [[nodiscard]] auto runExplain(const Arguments &arguments) -> ExitCode;
 
-/// Stops a host in order.
+/// Stops a host gracefully.
 [[nodiscard]] auto runDrain(const Arguments &arguments) -> ExitCode;
 
 } // namespace flamingograde::ctl
--- a/tools/flamingogradectl/httpcall.h
+++ b/tools/flamingogradectl/httpcall.h
@@ -1,4 +1,4 @@
-/// One HTTP call to a host's admin address.
+/// Makes one HTTP call to a host's admin address.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -11,38 +11,38 @@
 
 namespace flamingograde::ctl {
 
-/// The methods that admin addresses take.
+/// The HTTP methods that admin addresses accept.
 enum class HttpMethod {
     Get,
     Post
 };
 
-/// What is asked.
+/// A request to an admin address.
 struct HttpRequest
 {
     Address address;
     HttpMethod method = HttpMethod::Get;
-    std::string target;                ///< Path and query.
-    std::chrono::milliseconds timeout; ///< From connecting to the whole answer.
+    std::string target;                ///< Path and query string.
+    std::chrono::milliseconds timeout; ///< Of the whole call, connecting included.
 };
 
-/// What is answered.
-struct HttpAnswer
+/// The response to a request.
+struct HttpResponse
 {
     unsigned status = 0;
     std::string body;
 
-    /// Returns whether the status says success. Precondition: none.
+    /// Returns whether the status is 2xx. Precondition: none.
     /// @remarks Thread safe.
-    [[nodiscard]] auto isGood() const -> bool { return this->status / 100 == 2; }
+    [[nodiscard]] auto isSuccess() const -> bool { return this->status / 100 == 2; }
 };
 
-/// Makes the call and waits for its answer.
-/// @returns the answer, or why there is none.
+/// Sends the request and blocks until the response is complete or the timeout expires.
+/// @returns the response, or an error message.
 /// @remarks Thread safe. Throws nothing.
-[[nodiscard]] auto httpCall(const HttpRequest &request) -> tl::expected<HttpAnswer, std::string>;
+[[nodiscard]] auto httpCall(const HttpRequest &request) -> tl::expected<HttpResponse, std::string>;
 
-/// Returns `text` as a value of a query.
+/// Returns `text` percent-encoded for use as a value in a query string.
 /// @remarks Thread safe.
 [[nodiscard]] auto percentEncode(std::string_view text) -> std::string;
 
--- a/tools/flamingogradectl/main.cpp
+++ b/tools/flamingogradectl/main.cpp
@@ -1,4 +1,5 @@
-/// The operators' command line: checks, shows and compares tables, and asks hosts.
+/// The operators' command-line tool: validates, prints and compares routing tables, and queries and
+/// stops hosts.
 #include "command.h"
 
 #include "table/nearest.h"
@@ -13,19 +14,19 @@
 using namespace flamingograde::ctl;
 
 constexpr std::string_view program = "flamingogradectl";
-constexpr int nameWidth = 10;
+constexpr int commandColumnWidth = 10;
 
 auto usageError(const std::string &text, const std::string &helpCommand) -> ExitCode
 {
     std::cerr << program << ": " << text << "\n"
               << "see " << helpCommand << " --help\n";
-    return ExitCode::Usage;
+    return ExitCode::UsageError;
 }
 
 auto printVersion() -> ExitCode
 {
     std::cout << program << " " << FLAMINGOGRADE_VERSION << "\n";
-    return ExitCode::Clean;
+    return ExitCode::Success;
 }
 
 auto mainSyntax() -> Syntax
@@ -38,26 +39,26 @@
     printHelp(mainSyntax());
     std::cout << "\nCommands:\n";
     for (const auto &command : allCommands()) {
-        std::cout << "  " << std::left << std::setw(nameWidth) << command.name << command.summary
-                  << "\n";
+        std::cout << "  " << std::left << std::setw(commandColumnWidth) << command.name
+                  << command.summary << "\n";
     }
-    std::cout << "\nExit status: 0 nothing found, 1 findings or failure, 2 wrong usage.\n"
+    std::cout << "\nExit status: 0 success, nothing found; 1 findings or failure; 2 usage error.\n"
               << "HOST is the host's admin address IP:PORT.\n";
-    return ExitCode::Clean;
+    return ExitCode::Success;
 }
 
-auto runCommand(const Command &command, const std::vector<std::string> &words) -> ExitCode
+auto runCommand(const Command &command, const std::vector<std::string> &rawArguments) -> ExitCode
 {
     const auto name = std::string(program) + " " + std::string(command.name);
     const Syntax syntax { name, command.operands, command.options, false };
-    const auto arguments = readArguments(syntax, words);
+    const auto arguments = readArguments(syntax, rawArguments);
     if (!arguments) {
         return usageError(arguments.error(), name);
     }
     if (arguments->help) {
         printHelp(syntax);
         std::cout << "\nTo " << command.summary << ".\n";
-        return ExitCode::Clean;
+        return ExitCode::Success;
     }
     if (arguments->version) {
         return printVersion();
@@ -68,21 +69,21 @@
     return command.run(*arguments);
 }
 
-auto unknownCommand(const std::string &word) -> ExitCode
+auto unknownCommand(const std::string &name) -> ExitCode
 {
     std::vector<std::string_view> names;
     for (const auto &command : allCommands()) {
         names.push_back(command.name);
     }
-    const auto meant = nearestWord(word, names);
-    const auto hint = meant.empty() ? "its commands are " + joinWords(names)
-                                    : "did you mean " + std::string(meant) + "?";
-    return usageError("there is no command \"" + word + "\"; " + hint, std::string(program));
+    const auto suggestion = nearestWord(name, names);
+    const auto hint = suggestion.empty() ? "the commands are " + joinWords(names)
+                                         : "did you mean " + std::string(suggestion) + "?";
+    return usageError("there is no command \"" + name + "\"; " + hint, std::string(program));
 }
 
-auto runMain(const std::vector<std::string> &words) -> ExitCode
+auto runMain(const std::vector<std::string> &rawArguments) -> ExitCode
 {
-    const auto arguments = readArguments(mainSyntax(), words);
+    const auto arguments = readArguments(mainSyntax(), rawArguments);
     if (!arguments) {
         return usageError(arguments.error(), std::string(program));
     }
@@ -97,8 +98,9 @@
     }
     const auto &name = arguments->operands.front();
     const auto &commands = allCommands();
-    const auto command = std::find_if(commands.begin(), commands.end(),
-                                      [&name](const auto &each) { return each.name == name; });
+    const auto command =
+            std::find_if(commands.begin(), commands.end(),
+                         [&name](const auto &candidate) { return candidate.name == name; });
     if (command == commands.end()) {
         return unknownCommand(name);
     }
--- a/tools/flamingogradectl/tablecommands.cpp
+++ b/tools/flamingogradectl/tablecommands.cpp
@@ -57,7 +57,7 @@
     }
     std::cout << path << ": no fault; " << table->rows().size() << " rows, "
               << table->upstreams().size() << " upstreams\n";
-    return ExitCode::Clean;
+    return ExitCode::Success;
 }
 
 auto runShow(const Arguments &arguments) -> ExitCode
@@ -68,7 +68,7 @@
         return ExitCode::Findings;
     }
     std::cout << printTable(*table);
-    return ExitCode::Clean;
+    return ExitCode::Success;
 }
 
 auto runDiff(const Arguments &arguments) -> ExitCode
@@ -84,9 +84,10 @@
     for (const auto &change : changes) {
         std::cout << change.toString() << "\n";
     }
-    const auto hasDanger = std::any_of(changes.begin(), changes.end(),
-                                       [](const auto &change) { return change.isDangerous(); });
-    return hasDanger ? ExitCode::Findings : ExitCode::Clean;
+    const auto hasDangerousChange =
+            std::any_of(changes.begin(), changes.end(),
+                        [](const auto &change) { return change.isDangerous(); });
+    return hasDangerousChange ? ExitCode::Findings : ExitCode::Success;
 }
 
 } // namespace flamingograde::ctl
--- a/tools/flamingograded/main.cpp
+++ b/tools/flamingograded/main.cpp
@@ -1,4 +1,4 @@
-/// The daemon's command line.
+/// Entry point of the daemon: parses the command line, loads the settings and runs.
 #include "net/daemon.h"
 #include "net/hostlog.h"
 #include "net/loop.h"
@@ -17,9 +17,9 @@
 namespace {
 
 constexpr auto exitUsage = 2;
-constexpr auto hint = "try flamingograded --help";
+constexpr auto helpHint = "try flamingograded --help";
 
-/// What the command line asks for.
+/// The parsed command line.
 struct Options
 {
     std::string config;
@@ -29,11 +29,11 @@
 
 auto usageError(const std::string &what) -> std::nullopt_t
 {
-    std::cerr << "flamingograded: " << what << "; " << hint << std::endl;
+    std::cerr << "flamingograded: " << what << "; " << helpHint << std::endl;
     return std::nullopt;
 }
 
-/// Reads the command line; says what is wrong with it.
+/// Parses the command line. Prints an error and returns null if it is invalid.
 auto readOptions(int count, const char **arguments) -> std::optional<Options>
 {
     char *config = nullptr;
@@ -41,16 +41,17 @@
     int version = 0;
     const std::array<poptOption, 5> table { {
             { "config", 'c', POPT_ARG_STRING, &config, 0, "settings file", "FILE" },
-            { "check", 0, POPT_ARG_NONE, &check, 0, "check the settings and end", nullptr },
+            { "check", 0, POPT_ARG_NONE, &check, 0, "check the settings and exit", nullptr },
             { "version", 'V', POPT_ARG_NONE, &version, 0, "print the version", nullptr },
             POPT_AUTOHELP POPT_TABLEEND,
     } };
     const std::unique_ptr<poptContext_s, poptContext (*)(poptContext)> context(
             poptGetContext("flamingograded", count, arguments, table.data(), 0), &poptFreeContext);
-    const auto read = poptGetNextOpt(context.get());
-    const std::unique_ptr<char, void (*)(void *)> owned(config, &std::free);
-    if (read < -1) {
-        return usageError(std::string(poptBadOption(context.get(), 0)) + ": " + poptStrerror(read));
+    const auto status = poptGetNextOpt(context.get());
+    const std::unique_ptr<char, void (*)(void *)> configOwner(config, &std::free);
+    if (status < -1) {
+        return usageError(std::string(poptBadOption(context.get(), 0)) + ": "
+                          + poptStrerror(status));
     }
     if (const auto *extra = poptGetArg(context.get())) {
         return usageError(std::string("unexpected argument ") + extra);
@@ -76,8 +77,8 @@
     }
     auto settings = flamingograde::net::readSettingsFile(options->config);
     if (!settings) {
-        for (const auto &fault : settings.error()) {
-            std::cerr << fault << std::endl;
+        for (const auto &finding : settings.error()) {
+            std::cerr << finding << std::endl;
         }
         return EXIT_FAILURE;
     }
--- a/tools/flamingogradesim/main.cpp
+++ b/tools/flamingogradesim/main.cpp
@@ -1,4 +1,5 @@
-/// Plays emulated days: policies and sizes side by side.
+/// Runs emulations described by day files, one after the other: for each placement policy, seed and
+/// fleet size asked for.
 #include "emulator/dayfile.h"
 #include "emulator/dayreport.h"
 #include "emulator/emulation.h"
@@ -28,7 +29,7 @@
 
 constexpr auto exitUsage = 2;
 
-/// What the command line asks for.
+/// The parsed command line.
 struct Options
 {
     std::vector<std::string> days;
@@ -39,7 +40,7 @@
     bool crowded = false;
     bool evacuated = false;
     int seeds = 1;
-    int hosts = 0; ///< 0: as many as the day has.
+    int hosts = 0; ///< Hosts to scale each day to; 0 keeps the number in the day file.
 };
 
 constexpr std::array<std::pair<PacketPolicy, const char *>, 3> policies { {
@@ -58,29 +59,31 @@
     int crowded = 0;
     int evacuated = 0;
     const std::array<poptOption, 10> table { {
-            { "policies", 'p', POPT_ARG_NONE, &all, 0, "play every placement policy", nullptr },
-            { "seeds", 's', POPT_ARG_INT, &options.seeds, 0, "seeds of each day", "N" },
+            { "policies", 'p', POPT_ARG_NONE, &all, 0, "run every placement policy", nullptr },
+            { "seeds", 's', POPT_ARG_INT, &options.seeds, 0, "number of seeds to run for each day",
+              "N" },
             { "hosts", 'n', POPT_ARG_INT, &options.hosts, 0, "scale the day to N hosts", "N" },
-            { "windows", 'w', POPT_ARG_NONE, &windows, 0, "print each window's worth", nullptr },
+            { "windows", 'w', POPT_ARG_NONE, &windows, 0,
+              "print each window's share of the worth owed", nullptr },
             { "random", 'x', POPT_ARG_NONE, &randomTroubles, 0,
-              "draw the troubles of each seed at random", nullptr },
+              "draw the troubles (failures) of each seed at random", nullptr },
             { "crowded", 'c', POPT_ARG_NONE, &crowded, 0,
               "draw five to thirteen troubles of every kind but evacuations", nullptr },
             { "evacuated", 'e', POPT_ARG_NONE, &evacuated, 0,
               "draw five to thirteen troubles of every kind and one to three zone evacuations",
               nullptr },
-            { "report", 'r', POPT_ARG_STRING, &report, 0, "write all figures as JSON", "FILE" },
+            { "report", 'r', POPT_ARG_STRING, &report, 0, "write all results as JSON", "FILE" },
             POPT_AUTOHELP POPT_TABLEEND,
     } };
     const std::unique_ptr<poptContext_s, poptContext (*)(poptContext)> context(
             poptGetContext("flamingogradesim", count, arguments, table.data(), 0),
             &poptFreeContext);
     poptSetOtherOptionHelp(context.get(), "DAY.toml...");
-    const auto read = poptGetNextOpt(context.get());
-    const std::unique_ptr<char, void (*)(void *)> owned(report, &std::free);
-    if (read < -1) {
+    const auto status = poptGetNextOpt(context.get());
+    const std::unique_ptr<char, void (*)(void *)> reportOwner(report, &std::free);
+    if (status < -1) {
         std::cerr << "flamingogradesim: " << poptBadOption(context.get(), 0) << ": "
-                  << poptStrerror(read) << std::endl;
+                  << poptStrerror(status) << std::endl;
         return std::nullopt;
     }
     while (const auto *day = poptGetArg(context.get())) {
@@ -99,7 +102,7 @@
     return options;
 }
 
-/// Reads a day; says everything that is wrong with it.
+/// Reads a day file. Prints every error in it and returns null if it is invalid.
 auto readDay(const std::string &path) -> std::optional<DayPlan>
 {
     std::ifstream file(path);
@@ -126,13 +129,13 @@
     }
 }
 
-/// Says which promises a day broke, with what plays it again.
-/// @returns whether it kept them all.
-auto reportBroken(const std::string &name, std::uint64_t seed, const DayResult &result) -> bool
+/// Prints which guarantees a run violated, with the seed that reproduces it.
+/// @returns whether the run violated none.
+auto reportViolations(const std::string &name, std::uint64_t seed, const DayResult &result) -> bool
 {
-    const auto broken = result.brokenFlows + result.doubleRuns + result.wrongService
-                        + result.lateOpenings + result.evacuatedOpenings;
-    if (broken == 0) {
+    const auto violations = result.brokenFlows + result.doubleRuns + result.wrongService
+                            + result.lateOpenings + result.evacuatedOpenings;
+    if (violations == 0) {
         return true;
     }
     std::cout << "    BROKEN: " << name << " seed " << seed << ": flows " << result.brokenFlows;
@@ -145,7 +148,7 @@
     return false;
 }
 
-auto play(DayPlan day, const char *policy, const Options &options) -> nlohmann::json
+auto runDay(DayPlan day, const char *policy, const Options &options) -> nlohmann::json
 {
     const auto name = day.name + " " + policy;
     const auto seed = day.seed;
@@ -154,15 +157,15 @@
     if (options.windows) {
         printWindows(result);
     }
-    auto figures = toJson(result);
-    figures["day"] = name;
-    figures["seed"] = seed;
-    figures["kept"] = reportBroken(name, seed, result);
-    return figures;
+    auto results = toJson(result);
+    results["day"] = name;
+    results["seed"] = seed;
+    results["kept"] = reportViolations(name, seed, result);
+    return results;
 }
 
-/// Returns a day with the troubles drawn from its seed, or unchanged if none are to be drawn.
-auto withDrawnTroubles(DayPlan day, const Options &options) -> DayPlan
+/// Returns the day with troubles drawn from its seed, or unchanged if no option asks for them.
+auto withRandomTroubles(DayPlan day, const Options &options) -> DayPlan
 {
     if (!options.randomTroubles && !options.crowded && !options.evacuated) {
         return day;
@@ -176,23 +179,23 @@
     return drawn;
 }
 
-auto playAll(const DayPlan &day, const Options &options) -> nlohmann::json
+auto runAll(const DayPlan &day, const Options &options) -> nlohmann::json
 {
-    auto figures = nlohmann::json::array();
+    auto results = nlohmann::json::array();
     for (const auto &[policy, name] : policies) {
         if (!options.allPolicies && policy != day.policy) {
             continue;
         }
         for (int i = 0; i < options.seeds; ++i) {
-            auto played = options.hosts > 0 ? scaledTo(day, static_cast<std::size_t>(options.hosts))
-                                            : day;
-            played.seed += static_cast<std::uint64_t>(i);
-            played = withDrawnTroubles(std::move(played), options);
-            played.policy = policy;
-            figures.push_back(play(std::move(played), name, options));
+            auto plan = options.hosts > 0 ? scaledTo(day, static_cast<std::size_t>(options.hosts))
+                                          : day;
+            plan.seed += static_cast<std::uint64_t>(i);
+            plan = withRandomTroubles(std::move(plan), options);
+            plan.policy = policy;
+            results.push_back(runDay(std::move(plan), name, options));
         }
     }
-    return figures;
+    return results;
 }
 
 } // namespace
@@ -203,22 +206,22 @@
     if (!options) {
         return exitUsage;
     }
-    auto figures = nlohmann::json::array();
+    auto results = nlohmann::json::array();
     std::cout << lineHeader() << std::endl;
     for (const auto &path : options->days) {
         const auto day = readDay(path);
         if (!day) {
             return EXIT_FAILURE;
         }
-        for (auto &played : playAll(*day, *options)) {
-            figures.push_back(std::move(played));
+        for (auto &result : runAll(*day, *options)) {
+            results.push_back(std::move(result));
         }
     }
     if (!options->report.empty()) {
-        std::ofstream(options->report) << figures.dump(2) << std::endl;
+        std::ofstream(options->report) << results.dump(2) << std::endl;
     }
-    const auto allKept = std::all_of(figures.begin(), figures.end(), [](const auto &day) {
-        return day["kept"].template get<bool>();
+    const auto allPassed = std::all_of(results.begin(), results.end(), [](const auto &result) {
+        return result["kept"].template get<bool>();
     });
-    return allKept ? EXIT_SUCCESS : EXIT_FAILURE;
+    return allPassed ? EXIT_SUCCESS : EXIT_FAILURE;
 }
