--- a/tests/demo/demo.cpp
+++ b/tests/demo/demo.cpp
@@ -18,10 +18,10 @@
 constexpr Millis progressPeriod { 1000 };
 constexpr Millis pollPeriod { 20 };
 constexpr Millis rolloutLimit { 10000 };
-constexpr Millis drainTime { 2000 }; ///< After this a draining upstream gets nothing new.
+constexpr Millis drainSettleTime { 2000 }; ///< A draining upstream gets no new work after this.
 constexpr Millis finishLimit { 60000 };
 
-auto deploymentOf(const std::filesystem::path &file, const nlohmann::json &settings)
+auto loadDeployment(const std::filesystem::path &file, const nlohmann::json &settings)
         -> harness::Deployment
 {
     const std::string name = settings.at("deployment").get<std::string>() + ".toml";
@@ -33,7 +33,7 @@
 
 Demo::Demo(harness::Loop &eventLoop, const std::filesystem::path &file)
     : loop(eventLoop), settings(harness::readToml(file)),
-      fleet(eventLoop, deploymentOf(file, this->settings))
+      fleet(eventLoop, loadDeployment(file, this->settings))
 {}
 
 auto Demo::run() -> bool
@@ -41,7 +41,7 @@
     std::cout << "starting " << this->fleet.plan().hosts.size() << " hosts and "
               << this->fleet.upstreamNames().size() << " upstreams" << std::endl;
     this->fleet.startHosts();
-    this->fleet.waitSettled();
+    this->fleet.waitForCellHomes();
     this->begin = std::chrono::steady_clock::now();
     this->startLoads();
     for (const auto &change : this->settings.at("change")) {
@@ -53,15 +53,15 @@
 
     std::map<std::string, nlohmann::json> reports;
     for (const std::string &load : this->loads) {
-        reports[load] = this->reportOf(load);
+        reports[load] = this->fetchReport(load);
         reports[load]["kind"] = this->fleet.table().find("row", load).at("kind");
     }
-    this->report.takeLoads(reports);
-    this->report.takeLedgers(this->fleet, harness::checkLedgers(this->fleet, this->loads));
+    this->report.recordLoads(reports);
+    this->report.recordLedgers(this->fleet, harness::checkLedgers(this->fleet, this->loads));
     const auto file = harness::programPath("demo-report.json");
     std::ofstream(file) << this->report.toJson().dump(2) << "\n";
     std::cout << this->report.toText() << "report: " << file.string() << std::endl;
-    return this->report.promisesKept();
+    return this->report.guaranteesHeld();
 }
 
 auto Demo::startLoads() -> void
@@ -103,37 +103,37 @@
     const auto published = std::chrono::steady_clock::now();
     const auto revision = this->fleet.revision();
     std::vector<std::string> waiting = this->fleet.runningHosts();
-    const auto hasIt = [&](const std::string &host) {
+    const auto hasRevision = [&](const std::string &host) {
         const auto dump = this->fleet.adminPage(host, "dump");
         return harness::valueAt(dump, "config.revision") >= revision;
     };
     while (!waiting.empty() && std::chrono::steady_clock::now() - published < rolloutLimit) {
-        waiting.erase(std::remove_if(waiting.begin(), waiting.end(), hasIt), waiting.end());
+        waiting.erase(std::remove_if(waiting.begin(), waiting.end(), hasRevision), waiting.end());
         this->loop.runFor(waiting.empty() ? Millis(0) : pollPeriod);
     }
     const std::chrono::duration<double> passed = std::chrono::steady_clock::now() - published;
     this->report.addRollout(passed.count(), waiting.empty());
-    std::cout << "  revision " << revision << " in force on all hosts after " << std::fixed
+    std::cout << "  rollout of revision " << revision << " to all hosts: waited " << std::fixed
               << std::setprecision(2) << passed.count() << " s" << std::endl;
 }
 
-auto Demo::replaceHost(const std::string &host, const std::string &by) -> void
+auto Demo::replaceHost(const std::string &host, const std::string &replacement) -> void
 {
-    std::cout << "  host " << host << " stops, " << by << " takes its place" << std::endl;
+    std::cout << "  host " << host << " stops and " << replacement << " replaces it" << std::endl;
     this->fleet.beginStop(host);
-    this->fleet.startHost(by, this->fleet.zoneOf(host), true);
+    this->fleet.startHost(replacement, this->fleet.zoneOf(host), true);
     this->report.addStop(this->fleet.waitStopped(host, finishLimit));
     std::cout << "  host " << host << " has stopped" << std::endl;
 }
 
 auto Demo::drainUpstream(const std::string &name) -> void
 {
-    std::cout << "  upstream " << name << " drains" << std::endl;
+    std::cout << "  upstream " << name << " is draining" << std::endl;
     this->fleet.publish({ "upstream " + name + " state=draining" });
     this->waitForRevision();
-    this->loop.runFor(drainTime);
+    this->loop.runFor(drainSettleTime);
     const auto ledger = this->fleet.upstream(name).call({ { "cmd", "ledger" } });
-    this->report.addDrained(name, ledger.at("totals"));
+    this->report.addDrainedUpstream(name, ledger.at("totals"));
 }
 
 auto Demo::finishLoads() -> void
@@ -144,11 +144,11 @@
     }
 }
 
-auto Demo::showProgress() -> void
+auto Demo::printProgress() -> void
 {
     std::cout << std::setw(4) << static_cast<int>(this->elapsed()) << " s ";
     for (const std::string &load : this->loads) {
-        const auto counts = this->reportOf(load);
+        const auto counts = this->fetchReport(load);
         const char *field = counts.contains("events") ? "events" : "answered";
         std::cout << "  " << load << " " << counts.at(field) << " " << field;
     }
@@ -161,7 +161,7 @@
     while (this->elapsed() < end) {
         const auto left = Millis(static_cast<int>((end - this->elapsed()) * 1000) + 1);
         this->loop.runFor(std::min(progressPeriod, left));
-        this->showProgress();
+        this->printProgress();
     }
 }
 
@@ -170,7 +170,7 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - this->begin).count();
 }
 
-auto Demo::reportOf(const std::string &load) -> nlohmann::json
+auto Demo::fetchReport(const std::string &load) -> nlohmann::json
 {
     return this->fleet.callers().call({ { "cmd", "report" }, { "name", load } });
 }
--- a/tests/demo/demoreport.cpp
+++ b/tests/demo/demoreport.cpp
@@ -10,21 +10,21 @@
 
 namespace {
 
-/// Each of these is 0 when every promise was kept.
-constexpr std::array<const char *, 12> promises {
+/// Counters of violations. Each is 0 if all guarantees held.
+constexpr std::array<const char *, 12> violationCounters {
     "broken_flows",  "lost_events",      "repeated_events",     "double_runs",
     "wrong_not_run", "missing_runs",     "misdelivered",        "incomplete_answers",
     "cut_requests",  "work_after_drain", "incomplete_rollouts", "incomplete_stops"
 };
-constexpr double rolloutMax = 4; ///< Seconds in which an edit is to be in force everywhere.
+constexpr double maxRolloutSeconds = 4; ///< Limit until an edit is in force on all hosts.
 
-/// Adds the number `from[field]`, if it is there, to `sum`.
-auto addTo(json &sum, const json &from, const char *field) -> void
+/// Adds the number `from[field]` to `sum`, if the field exists.
+auto addField(json &sum, const json &from, const char *field) -> void
 {
     sum = sum.get<std::uint64_t>() + from.value(field, std::uint64_t { 0 });
 }
 
-auto raise(json &highest, double value) -> void
+auto raiseMaximum(json &highest, double value) -> void
 {
     highest = std::max(highest.get<double>(), value);
 }
@@ -33,73 +33,73 @@
 
 auto DemoReport::addRollout(double seconds, bool complete) -> void
 {
-    raise(this->content["config_seconds_max"], seconds);
-    if (!complete || seconds > rolloutMax) {
-        addTo(this->content["incomplete_rollouts"], { { "n", 1 } }, "n");
+    raiseMaximum(this->content["config_seconds_max"], seconds);
+    if (!complete || seconds > maxRolloutSeconds) {
+        addField(this->content["incomplete_rollouts"], { { "n", 1 } }, "n");
     }
 }
 
 auto DemoReport::addStop(const json &stopped) -> void
 {
     if (stopped.value("left", "?") != "" || stopped.value("exit_status", 1) != 0) {
-        addTo(this->content["incomplete_stops"], { { "n", 1 } }, "n");
+        addField(this->content["incomplete_stops"], { { "n", 1 } }, "n");
     }
 }
 
-auto DemoReport::addDrained(const std::string &upstream, const json &totals) -> void
+auto DemoReport::addDrainedUpstream(const std::string &upstream, const json &totals) -> void
 {
     this->drained[upstream] = totals;
 }
 
-auto DemoReport::takeLoads(const std::map<std::string, json> &loads) -> void
+auto DemoReport::recordLoads(const std::map<std::string, json> &loads) -> void
 {
     for (const auto &[row, counts] : loads) {
         if (counts.at("kind") == "feed") {
-            addTo(this->content["feeds"], counts, "opened");
+            addField(this->content["feeds"], counts, "opened");
             for (const char *field : { "broken_flows", "lost_events", "repeated_events" }) {
-                addTo(this->content[field], counts, field);
+                addField(this->content[field], counts, field);
             }
         } else {
-            this->takeRow(row, counts);
+            this->recordRow(row, counts);
         }
-        addTo(this->content["misdelivered"], counts, "misdelivered");
+        addField(this->content["misdelivered"], counts, "misdelivered");
     }
 }
 
-/// A row's imbalance: these loads ask for less than the slots can do, so no row's share of the
-/// slots is contended, and the table promises each row all that it asked for. The deviation is the
-/// share of its requests that was not answered.
-auto DemoReport::takeRow(const std::string &row, const json &counts) -> void
+/// Records the imbalance of a row as the share of its requests that was not answered: the loads of
+/// the demo are below the capacity of the slots, so rows do not compete for slots and the table
+/// guarantees each row all of its requests.
+auto DemoReport::recordRow(const std::string &row, const json &counts) -> void
 {
     const bool isUpload = counts.at("kind") == "upload";
-    addTo(this->content[isUpload ? "uploads" : "requests"], counts, "answered");
+    addField(this->content[isUpload ? "uploads" : "requests"], counts, "answered");
     for (const char *field : { "incomplete_answers", "unanswered" }) {
-        addTo(this->content[field], counts, field);
+        addField(this->content[field], counts, field);
     }
-    addTo(this->content["cut_requests"], counts, "broken");
-    addTo(this->content["refused"], counts, "refused_total");
-    addTo(this->content["misdelivered"], counts, "crossed");
+    addField(this->content["cut_requests"], counts, "broken");
+    addField(this->content["refused"], counts, "refused_total");
+    addField(this->content["misdelivered"], counts, "crossed");
     const json &latency = counts.at("latency_ms");
     if (!isUpload && latency.at("p50").is_number()) {
-        raise(this->content["latency_ms"]["p50"], latency.at("p50"));
-        raise(this->content["latency_ms"]["p99"], latency.at("p99"));
+        raiseMaximum(this->content["latency_ms"]["p50"], latency.at("p50"));
+        raiseMaximum(this->content["latency_ms"]["p99"], latency.at("p99"));
     }
     const auto sent = counts.at("sent").get<double>();
     const auto answered = counts.at("answered").get<double>();
     this->content["rows"][row] = { { "sent", sent },
                                    { "answered", answered },
                                    { "latency_ms", latency } };
-    this->takeImbalance(sent > 0 ? 1 - answered / sent : 0, row);
+    this->recordImbalance(sent > 0 ? 1 - answered / sent : 0, row);
 }
 
-/// An upstream's imbalance: its share of the runs of its service against its share of the slots,
-/// as a relative deviation, among the upstreams that were active all the time.
-auto DemoReport::takeLedgers(harness::Fleet &fleet, const json &check) -> void
+/// Records the imbalance of each upstream that was active throughout: the relative deviation of its
+/// share of the service's runs from its share of the service's slots.
+auto DemoReport::recordLedgers(harness::Fleet &fleet, const json &check) -> void
 {
     for (const char *field : { "double_runs", "wrong_not_run", "missing_runs" }) {
         this->content[field] = check.at(field);
     }
-    addTo(this->content["misdelivered"], check, "misdirected");
+    addField(this->content["misdelivered"], check, "misdirected");
 
     struct Service
     {
@@ -115,8 +115,8 @@
         const auto runs = totals.at("runs").get<double>();
         if (record.value("state", "active") != "active") {
             const double before = this->drained.at(name).at("runs").get<double>();
-            addTo(this->content["work_after_drain"],
-                  { { "n", static_cast<std::uint64_t>(runs - before) } }, "n");
+            addField(this->content["work_after_drain"],
+                     { { "n", static_cast<std::uint64_t>(runs - before) } }, "n");
             continue;
         }
         Service &service = services[record.at("service")];
@@ -128,7 +128,7 @@
     for (const auto &[unused, service] : services) {
         for (const auto &[name, runs] : service.runs) {
             const double expected = service.runsSum * service.slots.at(name) / service.slotsSum;
-            this->takeImbalance(expected > 0 ? std::abs(runs / expected - 1) : 1, name);
+            this->recordImbalance(expected > 0 ? std::abs(runs / expected - 1) : 1, name);
         }
     }
 }
@@ -155,7 +155,7 @@
                                "imbalance_of", "config_seconds_max" }) {
         out << std::left << std::setw(22) << field << this->content.at(field) << "\n";
     }
-    for (const char *field : promises) {
+    for (const char *field : violationCounters) {
         const auto count = this->content.at(field).get<std::uint64_t>();
         out << std::left << std::setw(22) << field << std::setw(8) << count
             << (count == 0 ? "kept" : "BROKEN") << "\n";
@@ -163,13 +163,13 @@
     return out.str();
 }
 
-auto DemoReport::promisesKept() const -> bool
+auto DemoReport::guaranteesHeld() const -> bool
 {
-    return std::all_of(promises.begin(), promises.end(),
+    return std::all_of(violationCounters.begin(), violationCounters.end(),
                        [this](const char *field) { return this->content.at(field) == 0; });
 }
 
-auto DemoReport::takeImbalance(double deviation, const std::string &of) -> void
+auto DemoReport::recordImbalance(double deviation, const std::string &of) -> void
 {
     if (deviation > this->content["imbalance"].get<double>()) {
         this->content["imbalance"] = deviation;
--- a/tests/demo/demoreport.h
+++ b/tests/demo/demoreport.h
@@ -1,4 +1,4 @@
-/// What the demo measured.
+/// The measurements of the demo.
 #pragma once
 
 #include "harness/fleet.h"
@@ -9,32 +9,36 @@
 #include <string>
 #include <vector>
 
-/// Collects measurements and judges which promises were kept.
+/// Collects measurements and checks them against the guarantees.
 /// @remarks Not thread safe.
 class DemoReport
 {
 public:
-    /// Adds how long a revision took to be in force on all hosts, and whether it ever was.
+    /// Adds the rollout of a revision.
+    /// @param seconds time until it was in force on all hosts, or until the wait was abandoned.
+    /// @param complete whether it came into force on all hosts.
     auto addRollout(double seconds, bool complete) -> void;
-    /// Adds the last word of a host that was stopped.
+    /// Adds the `stopped` event of a host.
     auto addStop(const nlohmann::json &stopped) -> void;
-    /// Adds a draining upstream with its counts when it should have got its last new work.
-    auto addDrained(const std::string &upstream, const nlohmann::json &totals) -> void;
-    /// Takes the callers' reports by row, each with the row's kind.
-    auto takeLoads(const std::map<std::string, nlohmann::json> &loads) -> void;
-    /// Takes the result of `checkLedgers` and works out the upstreams' imbalance.
-    auto takeLedgers(harness::Fleet &fleet, const nlohmann::json &check) -> void;
+    /// Adds a draining upstream with its ledger totals at the time after which it must receive no
+    /// new work.
+    auto addDrainedUpstream(const std::string &upstream, const nlohmann::json &totals) -> void;
+    /// Adds the callers' reports by row, each with the row's kind.
+    auto recordLoads(const std::map<std::string, nlohmann::json> &loads) -> void;
+    /// Adds the result of `checkLedgers` and computes the imbalance between the upstreams.
+    auto recordLedgers(harness::Fleet &fleet, const nlohmann::json &check) -> void;
 
     /// Returns all measurements.
     [[nodiscard]] auto toJson() const -> const nlohmann::json & { return this->content; }
-    /// Returns a short table.
+    /// Returns a summary table.
     [[nodiscard]] auto toText() const -> std::string;
-    /// Returns whether all that must be 0 is, and all rollouts and stops were whole.
-    [[nodiscard]] auto promisesKept() const -> bool;
+    /// Returns whether all counters of violations are 0. They include incomplete rollouts and
+    /// stops.
+    [[nodiscard]] auto guaranteesHeld() const -> bool;
 
 private:
-    auto takeRow(const std::string &row, const nlohmann::json &counts) -> void;
-    auto takeImbalance(double deviation, const std::string &of) -> void;
+    auto recordRow(const std::string &row, const nlohmann::json &counts) -> void;
+    auto recordImbalance(double deviation, const std::string &of) -> void;
 
     nlohmann::json content = { { "requests", 0 },
                                { "feeds", 0 },
--- a/tests/demo/main.cpp
+++ b/tests/demo/main.cpp
@@ -1,4 +1,4 @@
-/// Runs a demo: a whole deployment under load and change, then what was kept and what was not.
+/// Runs a demo: a deployment under load and planned changes, then a report on the guarantees.
 #include "demo.h"
 #include "packetdemo.h"
 
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// Runs the demo of a file, or that of packets. @returns whether every promise was kept.
-auto runDemo(const std::string &what) -> bool
+/// Runs the demo of a settings file, or the packet demo. @returns whether all guarantees held.
+auto runDemo(const std::string &fileOrOption) -> bool
 {
     harness::Loop loop;
-    return what == "--packets" ? PacketDemo(loop).run() : Demo(loop, what).run();
+    return fileOrOption == "--packets" ? PacketDemo(loop).run() : Demo(loop, fileOrOption).run();
 }
 
 } // namespace
--- a/tests/demo/packetdemo.cpp
+++ b/tests/demo/packetdemo.cpp
@@ -18,16 +18,16 @@
 constexpr std::size_t zones = 2;
 constexpr std::size_t hostsPerZone = 2;
 constexpr std::size_t upstreamsPerZone = 2;
-constexpr double requestsPerSecond = 60; ///< In each zone; its two upstreams of two slots do 400.
-constexpr Millis between { 1500 };       ///< Between two changes.
-constexpr Millis editLimit { 4000 };     ///< An edit is to be in force everywhere within this.
-constexpr std::int64_t openingLimitMs = 3000; ///< A leaving upstream gets no new flow after this.
+constexpr double requestsPerSecond = 60;  ///< Per zone. Its 2 upstreams of 2 slots can serve 400.
+constexpr Millis changeInterval { 1500 }; ///< Time between two changes.
+constexpr Millis editLimit { 4000 };      ///< An edit must be in force everywhere within this.
+constexpr std::int64_t openingLimitMs = 3000; ///< Limit for new flows to a draining upstream.
 
-/// Each of these is 0 when every promise was kept.
-constexpr std::array<const char *, 5> promises { "broken_flows", "double_runs", "wrong_service",
-                                                 "strays", "not_intact" };
+/// Counters of violations. Each is 0 if all guarantees held.
+constexpr std::array<const char *, 5> violationCounters { "broken_flows", "double_runs",
+                                                          "wrong_service", "strays", "not_intact" };
 
-auto tell(const std::string &change) -> void
+auto printStep(const std::string &change) -> void
 {
     std::cout << "  " << change << std::endl;
 }
@@ -45,26 +45,26 @@
 
 auto PacketDemo::run() -> bool
 {
-    tell("starting " + std::to_string(zones * hostsPerZone) + " hosts and "
-         + std::to_string(zones * upstreamsPerZone) + " upstreams of a feed");
+    printStep("starting " + std::to_string(zones * hostsPerZone) + " hosts and "
+              + std::to_string(zones * upstreamsPerZone) + " upstreams of the service live");
     this->fleet.start(zones, hostsPerZone, upstreamsPerZone);
     this->fleet.beginLoad(requestsPerSecond);
-    this->loop.runFor(between);
+    this->loop.runFor(changeInterval);
     this->editRows();
     this->replaceUpstream();
     this->stopHostsInTurn();
     this->silenceStore();
     this->killHost();
     this->editRows();
-    this->loop.runFor(between);
+    this->loop.runFor(changeInterval);
     this->report = this->fleet.endLoad();
     this->report["imbalance"] = this->imbalance();
-    this->report["edit_seconds_max"] = this->editSeconds;
+    this->report["edit_seconds_max"] = this->longestEditSeconds;
     const auto file = harness::programPath("packet-demo-report.json");
     std::ofstream(file) << this->report.dump(2) << "\n";
     this->print();
     std::cout << "report: " << file.string() << std::endl;
-    return this->promisesKept();
+    return this->guaranteesHeld();
 }
 
 auto PacketDemo::editRows() -> void
@@ -72,42 +72,43 @@
     const auto begin = std::chrono::steady_clock::now();
     const auto inForce = this->fleet.waitRevision(this->fleet.publishRows(), editLimit);
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
-    this->editsInForce = this->editsInForce && inForce;
-    this->editSeconds = std::max(this->editSeconds, took.count());
-    tell("rows edited, in force on all hosts: " + std::string(inForce ? "yes" : "NO"));
-    this->loop.runFor(between);
+    this->allEditsInForce = this->allEditsInForce && inForce;
+    this->longestEditSeconds = std::max(this->longestEditSeconds, took.count());
+    printStep("rows edited; in force on all hosts in time: " + std::string(inForce ? "yes" : "NO"));
+    this->loop.runFor(changeInterval);
 }
 
 auto PacketDemo::replaceUpstream() -> void
 {
-    tell("upstream live-1-1 drains, live-1-new takes its place");
+    printStep("upstream live-1-1 is draining and live-1-new replaces it");
     this->fleet.addUpstream("live-1-new", "live", 1);
     this->fleet.drainUpstream("live-1-1");
-    this->loop.runFor(between);
+    this->loop.runFor(changeInterval);
     this->fleet.unregisterUpstream("live-1-1");
 }
 
 auto PacketDemo::stopHostsInTurn() -> void
 {
     for (const auto &host : this->fleet.hostNames()) {
-        tell("host " + host + " stops and starts again");
+        printStep("host " + host + " is stopped and restarted");
         this->fleet.stopHost(host, true);
     }
 }
 
 auto PacketDemo::silenceStore() -> void
 {
-    tell("the store falls silent for " + std::to_string(2 * between.count()) + " ms");
+    printStep("the store does not answer for " + std::to_string(2 * changeInterval.count())
+              + " ms");
     this->fleet.store().call({ { "cmd", "mode" }, { "mode", "silent" } });
-    this->loop.runFor(2 * between);
+    this->loop.runFor(2 * changeInterval);
     this->fleet.store().call({ { "cmd", "mode" }, { "mode", "up" } });
 }
 
 auto PacketDemo::killHost() -> void
 {
-    tell("host host-2-1 is killed and starts again");
+    printStep("host host-2-1 is killed and restarted");
     this->fleet.killHost("host-2-1", true);
-    this->loop.runFor(between);
+    this->loop.runFor(changeInterval);
 }
 
 auto PacketDemo::imbalance() const -> double
@@ -129,11 +130,11 @@
     return std::round(largest * digits) / digits;
 }
 
-auto PacketDemo::promisesKept() const -> bool
+auto PacketDemo::guaranteesHeld() const -> bool
 {
-    const auto isNone = [this](const char *field) { return this->report.at(field) == 0; };
-    return this->editsInForce && this->report.at("latest_opening_ms") < openingLimitMs
-           && std::all_of(promises.begin(), promises.end(), isNone);
+    const auto isZero = [this](const char *field) { return this->report.at(field) == 0; };
+    return this->allEditsInForce && this->report.at("latest_opening_ms") < openingLimitMs
+           && std::all_of(violationCounters.begin(), violationCounters.end(), isZero);
 }
 
 auto PacketDemo::print() const -> void
@@ -142,7 +143,7 @@
                                "imbalance", "edit_seconds_max", "latest_opening_ms" }) {
         printRow(field, this->report.at(field));
     }
-    for (const auto *field : promises) {
+    for (const auto *field : violationCounters) {
         const auto &count = this->report.at(field);
         printRow(field, count, count == 0 ? "kept" : "BROKEN");
     }
--- a/tests/harness/condition.cpp
+++ b/tests/harness/condition.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Returns the member of the array whose `name` is `name`, or null.
-auto findNamed(const nlohmann::json &array, const std::string &name) -> const nlohmann::json *
+/// Returns the object in `array` whose `name` field equals `name`, or null.
+auto findByName(const nlohmann::json &array, const std::string &name) -> const nlohmann::json *
 {
     for (const auto &member : array) {
         if (member.is_object() && member.value("name", "") == name) {
@@ -40,7 +40,7 @@
     std::istringstream parts(path);
     for (std::string part; std::getline(parts, part, '.');) {
         if (at->is_array()) {
-            at = findNamed(*at, part);
+            at = findByName(*at, part);
         } else {
             at = at->is_object() && at->contains(part) ? &at->at(part) : nullptr;
         }
--- a/tests/harness/condition.h
+++ b/tests/harness/condition.h
@@ -1,4 +1,4 @@
-/// What a scenario expects of a JSON value.
+/// Evaluates the conditions that a scenario step sets on a JSON value.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,16 +8,16 @@
 
 namespace harness {
 
-/// Returns the member of `value` at a path such as "totals.runs"; null where there is none.
-/// In an array of objects, a part of the path is the `name` of the member that is meant.
+/// Returns the member of `value` at a dotted path such as "totals.runs", or null if there is none.
+/// Within an array of objects, a path component selects the object with that `name` field.
 [[nodiscard]] auto valueAt(const nlohmann::json &value, const std::string &path) -> nlohmann::json;
 
-/// Adds the numbers of `other` to those of `sum`, member by member.
+/// Adds each number in `other` to the member of `sum` at the same path. Ignores other types.
 auto addNumbers(nlohmann::json &sum, const nlohmann::json &other) -> void;
 
-/// Checks the tables `eq`, `ne`, `ge` and `le` of `step`, each of paths and bounds, against
-/// `value`.
-/// @returns a text for each that does not hold. A path that is missing does not hold.
+/// Checks `value` against the tables `eq`, `ne`, `ge` and `le` of `step`. Each table maps paths to
+/// bounds.
+/// @returns one message for each condition that fails. A condition on a missing path fails.
 [[nodiscard]] auto failedConditions(const nlohmann::json &step, const nlohmann::json &value)
         -> std::vector<std::string>;
 
--- a/tests/harness/deployment.cpp
+++ b/tests/harness/deployment.cpp
@@ -10,7 +10,8 @@
 constexpr int defaultSlots = 2;
 constexpr int defaultConnections = 2000;
 
-auto upstreamOf(const nlohmann::json &service, const std::string &zone, int number) -> UpstreamPlan
+auto makeUpstreamPlan(const nlohmann::json &service, const std::string &zone, int number)
+        -> UpstreamPlan
 {
     UpstreamPlan plan;
     const auto name = service.at("name").get<std::string>();
@@ -43,7 +44,7 @@
         for (const auto &service : plan.at("service")) {
             const int count = service.at("upstreams").at(i).get<int>();
             for (int n = 1; n <= count; ++n) {
-                deployment.upstreams.push_back(upstreamOf(service, zone, n));
+                deployment.upstreams.push_back(makeUpstreamPlan(service, zone, n));
             }
         }
     }
@@ -53,16 +54,16 @@
     return deployment;
 }
 
-auto Deployment::anotherUpstream(const std::string &name, const std::string &service,
-                                 const std::string &zone) const -> UpstreamPlan
+auto Deployment::additionalUpstream(const std::string &name, const std::string &service,
+                                    const std::string &zone) const -> UpstreamPlan
 {
-    const auto like = std::find_if(
+    const auto existing = std::find_if(
             this->upstreams.begin(), this->upstreams.end(),
             [&](const UpstreamPlan &plan) { return plan.record.at("service") == service; });
-    if (like == this->upstreams.end()) {
-        throw std::runtime_error("no service " + service);
+    if (existing == this->upstreams.end()) {
+        throw std::runtime_error("the deployment has no upstream of service " + service);
     }
-    UpstreamPlan plan = *like;
+    UpstreamPlan plan = *existing;
     plan.name = name;
     plan.zone = zone;
     return plan;
--- a/tests/harness/deployment.h
+++ b/tests/harness/deployment.h
@@ -1,4 +1,4 @@
-/// What a test starts: zones, hosts, services.
+/// Describes the zones, hosts, upstreams and table rows that a test starts.
 #pragma once
 
 #include "harness/tabledraft.h"
@@ -23,26 +23,26 @@
 {
     std::string name;
     std::string zone;
-    nlohmann::json options;        ///< Of the upstream stand-in, but for name and listen address.
-    nlohmann::ordered_json record; ///< Of the table, but for name, zone and address.
+    nlohmann::json options;        ///< Options of the stand-in, without name and listen address.
+    nlohmann::ordered_json record; ///< Table record, without name, zone and address.
 };
 
-/// A deployment as the table `[deployment]` of a scenario describes it.
+/// A deployment, as given by the table `[deployment]` of a scenario.
 struct Deployment
 {
     std::vector<std::string> zones;
     std::vector<HostPlan> hosts;
     std::vector<UpstreamPlan> upstreams;
-    std::vector<TableDraft::Record> rows;               ///< But for the address.
+    std::vector<TableDraft::Record> rows;               ///< Table records, without the address.
     nlohmann::json settings = nlohmann::json::object(); ///< Sections added to each host's settings.
 
-    /// Makes a deployment from `plan`. Throws for a missing field.
+    /// Parses `plan`. Throws if a field is missing.
     [[nodiscard]] static auto fromJson(const nlohmann::json &plan) -> Deployment;
 
-    /// Returns the plan of one more upstream of `service` in `zone`, like the others of the
-    /// service. Precondition: the service has an upstream.
-    [[nodiscard]] auto anotherUpstream(const std::string &name, const std::string &service,
-                                       const std::string &zone) const -> UpstreamPlan;
+    /// Returns the plan of an additional upstream of `service` in `zone`, with the options and the
+    /// record of the service's first upstream. Throws `std::runtime_error` if it has none.
+    [[nodiscard]] auto additionalUpstream(const std::string &name, const std::string &service,
+                                          const std::string &zone) const -> UpstreamPlan;
 };
 
 } // namespace harness
--- a/tests/harness/fabric.cpp
+++ b/tests/harness/fabric.cpp
@@ -6,26 +6,28 @@
 
 namespace {
 
-constexpr const char *linkIp = "127.9.0.1:0";
+constexpr const char *linkListenAddress = "127.9.0.1:0";
 constexpr Millis checkPeriod { 200 };
-constexpr Millis checkLimit { 1000 };
+constexpr Millis checkTimeout { 1000 };
 constexpr int httpOk = 200;
 
 } // namespace
 
 Fabric::Fabric(Loop &eventLoop, const std::filesystem::path &errorFile)
-    : loop(eventLoop), standin(eventLoop, "proxy", { { "seed", 1 } }, errorFile),
+    : loop(eventLoop), proxyProcess(eventLoop, "proxy", { { "seed", 1 } }, errorFile),
       timer(eventLoop.context())
 {
-    this->check();
+    this->checkHealth();
 }
 
 auto Fabric::addLink(const std::string &name, const std::vector<std::string> &targets)
         -> std::string
 {
-    const auto answer = this->standin.call(
-            { { "cmd", "link" }, { "name", name }, { "listen", linkIp }, { "targets", targets } });
-    this->sent[name] = targets;
+    const auto answer = this->proxyProcess.call({ { "cmd", "link" },
+                                                  { "name", name },
+                                                  { "listen", linkListenAddress },
+                                                  { "targets", targets } });
+    this->lastTargets[name] = targets;
     return answer.at("address");
 }
 
@@ -39,19 +41,19 @@
 
 auto Fabric::setTargets(const std::string &name, const std::vector<std::string> &targets) -> void
 {
-    std::vector<std::string> &last = this->sent[name];
+    std::vector<std::string> &last = this->lastTargets[name];
     if (last != targets) {
         last = targets;
-        this->standin.post({ { "cmd", "targets" }, { "name", name }, { "targets", targets } });
+        this->proxyProcess.post({ { "cmd", "targets" }, { "name", name }, { "targets", targets } });
     }
 }
 
-auto Fabric::nameSide(const std::string &name, const std::string &ip) -> void
+auto Fabric::nameEndpoint(const std::string &name, const std::string &ip) -> void
 {
-    this->standin.call({ { "cmd", "side" }, { "name", name }, { "ip", ip } });
+    this->proxyProcess.call({ { "cmd", "side" }, { "name", name }, { "ip", ip } });
 }
 
-auto Fabric::watch(HostProcess &host) -> void
+auto Fabric::monitor(HostProcess &host) -> void
 {
     this->hosts[host.name()] = { &host, false, false };
 }
@@ -75,30 +77,31 @@
     return found != this->hosts.end() && found->second.healthy && !found->second.excluded;
 }
 
-auto Fabric::check() -> void
+auto Fabric::checkHealth() -> void
 {
-    for (const auto &[name, watched] : this->hosts) {
-        if (!watched.host->isReady()) {
+    for (const auto &[name, monitored] : this->hosts) {
+        if (!monitored.host->isReady()) {
             continue;
         }
-        startGet(this->loop, watched.host->admin(), "/healthz", checkLimit,
-                 [this, living = std::weak_ptr<bool>(this->alive), host = name,
-                  checked = watched.host](const HttpResult &result) {
-                     if (!living.expired()) {
-                         this->onHealth(host, checked, result && result->status == httpOk);
+        startGet(this->loop, monitored.host->admin(), "/healthz", checkTimeout,
+                 [this, weakAlive = std::weak_ptr<bool>(this->alive), host = name,
+                  checked = monitored.host](const HttpResult &result) {
+                     if (!weakAlive.expired()) {
+                         this->onHealthResult(host, checked, result && result->status == httpOk);
                      }
                  });
     }
     this->timer.expires_after(checkPeriod);
-    this->timer.async_wait([this, living = std::weak_ptr<bool>(this->alive)](
+    this->timer.async_wait([this, weakAlive = std::weak_ptr<bool>(this->alive)](
                                    const boost::system::error_code &error) {
-        if (!error && !living.expired()) {
-            this->check();
+        if (!error && !weakAlive.expired()) {
+            this->checkHealth();
         }
     });
 }
 
-auto Fabric::onHealth(const std::string &host, const HostProcess *checked, bool healthy) -> void
+auto Fabric::onHealthResult(const std::string &host, const HostProcess *checked, bool healthy)
+        -> void
 {
     const auto found = this->hosts.find(host);
     if (found != this->hosts.end() && found->second.host == checked
@@ -111,9 +114,9 @@
 auto Fabric::targetsOf(const std::string &rowAddress) const -> std::vector<std::string>
 {
     std::vector<std::string> targets;
-    for (const auto &[name, watched] : this->hosts) {
-        const auto listener = watched.host->listeners().find(rowAddress);
-        if (this->isTarget(name) && listener != watched.host->listeners().end()) {
+    for (const auto &[name, monitored] : this->hosts) {
+        const auto listener = monitored.host->listeners().find(rowAddress);
+        if (this->isTarget(name) && listener != monitored.host->listeners().end()) {
             targets.push_back(listener->second);
         }
     }
--- a/tests/harness/fleet.cpp
+++ b/tests/harness/fleet.cpp
@@ -16,8 +16,8 @@
 constexpr const char *callersIp = "127.4.0.1";
 constexpr Millis startLimit { 30000 };
 constexpr Millis pollPeriod { 50 };
-constexpr Millis clockBound { 1100 }; ///< A little above the product's.
-constexpr Millis homeLimit { 300 };   ///< Longest wait for a host that is asked for its cells.
+constexpr Millis clockBound { 1100 };    ///< Slightly longer than the product's clock bound.
+constexpr Millis homeQueryLimit { 300 }; ///< Time limit for the dump of one host.
 constexpr int httpOk = 200;
 
 /// Writes `sections` as TOML tables of scalars.
@@ -35,15 +35,15 @@
 
 Fleet::Fleet(Loop &eventLoop, Deployment plan)
     : loop(eventLoop), deployment(std::move(plan)),
-      network(eventLoop, this->temporary.file("proxy.log")),
-      configService(eventLoop, "platform", { { "listen", std::string(platformIp) + ":0" } },
-                    this->temporary.file("platform.log")),
-      callerProcess(eventLoop, "caller", { { "seed", 1 } }, this->temporary.file("caller.log"))
+      network(eventLoop, this->tempFolder.file("proxy.log")),
+      platformProcess(eventLoop, "platform", { { "listen", std::string(platformIp) + ":0" } },
+                      this->tempFolder.file("platform.log")),
+      callerProcess(eventLoop, "caller", { { "seed", 1 } }, this->tempFolder.file("caller.log"))
 {
-    this->network.nameSide("platform", platformIp);
-    this->network.nameSide("callers", callersIp);
+    this->network.nameEndpoint("platform", platformIp);
+    this->network.nameEndpoint("callers", callersIp);
     this->platformLink = this->network.addLink(
-            "platform", { this->configService.readyEvent().at("address").get<std::string>() });
+            "platform", { this->platformProcess.readyEvent().at("address").get<std::string>() });
     this->draft.apply({ "key", "1" });
     this->draft.apply({ "sign", "1" });
     for (const UpstreamPlan &upstream : this->deployment.upstreams) {
@@ -63,22 +63,23 @@
     for (const HostPlan &host : this->deployment.hosts) {
         this->startHost(host.name, host.zone, false);
     }
-    const auto allIn = [this] {
+    const auto allInRotation = [this] {
         return std::all_of(this->hosts.begin(), this->hosts.end(),
                            [this](const auto &host) { return this->network.isTarget(host.first); });
     };
-    if (!this->loop.waitUntil(allIn, startLimit)) {
-        throw std::runtime_error("not all hosts became healthy");
+    if (!this->loop.waitUntil(allInRotation, startLimit)) {
+        throw std::runtime_error("not all hosts passed the health check of the fabric in time");
     }
 }
 
-auto Fleet::waitSettled() -> void
+auto Fleet::waitForCellHomes() -> void
 {
     for (const auto &upstream : this->draft.all("upstream")) {
         const auto deadline = std::chrono::steady_clock::now() + startLimit;
         while (this->homeOf(upstream.at("service"), upstream.at("zone")).empty()) {
             if (std::chrono::steady_clock::now() > deadline) {
-                throw std::runtime_error("no home for " + upstream.at("name").dump());
+                throw std::runtime_error("no host became home of the cell of upstream "
+                                         + upstream.at("name").dump());
             }
             this->loop.runFor(pollPeriod);
         }
@@ -89,21 +90,22 @@
 auto Fleet::startHost(const std::string &name, const std::string &zone, bool wait) -> void
 {
     HostRecord &host = this->prepareHost(name, zone);
-    this->listHost(name, "live");
+    this->setHostState(name, "live");
     host.process = std::make_unique<HostProcess>(this->loop, name, this->writeSettings(name, host),
                                                  this->logOf(name),
                                                  [this, name] { this->onHostEvent(name); });
     host.running = true;
     host.revision = 0;
-    this->network.watch(*host.process);
+    this->network.monitor(*host.process);
     if (wait && !this->loop.waitUntil([&] { return this->network.isTarget(name); }, startLimit)) {
-        throw std::runtime_error("host " + name + " did not become healthy");
+        throw std::runtime_error("host " + name
+                                 + " did not pass the health check of the fabric in time");
     }
 }
 
 auto Fleet::beginStop(const std::string &name) -> void
 {
-    this->listHost(name, "leaving");
+    this->setHostState(name, "leaving");
     this->host(name).process().kill(SIGTERM);
 }
 
@@ -114,15 +116,15 @@
         return stopping.process().outputEnded() && stopping.process().exitStatus().has_value();
     };
     if (!this->loop.waitUntil(ended, limit)) {
-        throw std::runtime_error("host " + name + " did not stop");
+        throw std::runtime_error("host " + name + " did not stop in time");
     }
     nlohmann::json last = stopping.stoppedEvent();
     if (last.is_null()) {
-        throw std::runtime_error("host " + name + " ended without its last word");
+        throw std::runtime_error("host " + name + " ended without a stopped event");
     }
     last["exit_status"] = *stopping.process().exitStatus();
     this->hosts.at(name).running = false;
-    this->listHost(name, "");
+    this->setHostState(name, "");
     return last;
 }
 
@@ -165,15 +167,16 @@
 
 auto Fleet::logOf(const std::string &host) const -> std::filesystem::path
 {
-    return this->temporary.file("host-" + host + ".log");
+    return this->tempFolder.file("host-" + host + ".log");
 }
 
 auto Fleet::homeOf(const std::string &service, const std::string &zone) -> std::string
 {
     for (const std::string &name : this->runningHosts(zone)) {
-        const HttpResult dump = httpGet(this->loop, this->host(name).admin(), "/dump", homeLimit);
+        const HttpResult dump =
+                httpGet(this->loop, this->host(name).admin(), "/dump", homeQueryLimit);
         if (!dump) {
-            continue; // Frozen hosts do not answer.
+            continue; // A frozen host does not answer.
         }
         const auto content = nlohmann::json::parse(dump->body);
         for (const auto &cell : content.at("cells")) {
@@ -200,15 +203,15 @@
 
 auto Fleet::publishText(const std::string &text) -> std::uint64_t
 {
-    const auto answer = this->configService.call(
+    const auto answer = this->platformProcess.call(
             { { "cmd", "publish" }, { "table", this->draft.toToml() + text } });
     this->lastRevision = answer.at("revision");
     return this->lastRevision;
 }
 
-auto Fleet::listHost(const std::string &name, const std::string &state) -> void
+auto Fleet::setHostState(const std::string &name, const std::string &state) -> void
 {
-    this->hosts.at(name).listed = state;
+    this->hosts.at(name).listedState = state;
     this->publishHosts();
 }
 
@@ -216,23 +219,23 @@
 {
     const HttpResult result = httpGet(this->loop, this->host(name).admin(), "/" + page);
     if (!result || result->status != httpOk) {
-        throw std::runtime_error("host " + name + ": no " + page);
+        throw std::runtime_error("host " + name + " did not serve /" + page);
     }
     if (page == "metrics") {
         return parseMetrics(result->body);
     }
     auto content = nlohmann::json::parse(result->body);
     if (page == "dump") {
-        this->noteRevision(name, content.at("config").at("revision"));
+        this->recordRevision(name, content.at("config").at("revision"));
     }
     return content;
 }
 
-auto Fleet::noteRevision(const std::string &name, std::uint64_t revision) -> void
+auto Fleet::recordRevision(const std::string &name, std::uint64_t revision) -> void
 {
     std::uint64_t &highest = this->hosts.at(name).revision;
     if (revision < highest) {
-        throw std::runtime_error("host " + name + " went back from revision "
+        throw std::runtime_error("host " + name + " reverted from revision "
                                  + std::to_string(highest) + " to " + std::to_string(revision));
     }
     highest = revision;
@@ -246,7 +249,7 @@
     }
     const auto bound = this->host(viaHost).listeners().find(address);
     if (bound == this->host(viaHost).listeners().end()) {
-        throw std::runtime_error("host " + viaHost + " does not listen for " + row);
+        throw std::runtime_error("host " + viaHost + " has no listener for row " + row);
     }
     static std::uint64_t number = 0;
     return this->network.addLink("via:" + std::to_string(++number), { bound->second });
@@ -271,7 +274,7 @@
     this->startUpstream(this->upstreams.at(name));
 }
 
-auto Fleet::sides(const std::string &words) const -> std::vector<std::string>
+auto Fleet::endpoints(const std::string &words) const -> std::vector<std::string>
 {
     const EditWords split = splitWords(words);
     const std::string &first = split.at(0);
@@ -308,8 +311,8 @@
     UpstreamRecord &record = this->upstreams[plan.name];
     record.plan = plan;
     const std::string prefix = "127.2." + std::to_string(this->zoneNumber(plan.zone)) + ".";
-    record.ip = prefix + std::to_string(++this->usedIps[prefix]);
-    this->network.nameSide(plan.name, record.ip);
+    record.ip = prefix + std::to_string(++this->lastIpNumbers[prefix]);
+    this->network.nameEndpoint(plan.name, record.ip);
     this->startUpstream(record);
     TableDraft::Record row = plan.record;
     row["name"] = plan.name;
@@ -325,12 +328,12 @@
     nlohmann::json options = record.plan.options;
     options["name"] = record.plan.name;
     options["listen"] = record.ip + ":0";
-    options["ledger_file"] = this->temporary.file("ledger-" + record.plan.name).string();
-    const bool again = record.process != nullptr;
+    options["ledger_file"] = this->tempFolder.file("ledger-" + record.plan.name).string();
+    const bool isRestart = record.process != nullptr;
     record.process = std::make_unique<Standin>(
             this->loop, "upstream", options,
-            this->temporary.file("upstream-" + record.plan.name + ".log"));
-    if (again) {
+            this->tempFolder.file("upstream-" + record.plan.name + ".log"));
+    if (isRestart) {
         this->network.setTargets("upstream:" + record.plan.name,
                                  { record.process->readyEvent().at("address").get<std::string>() });
     }
@@ -348,8 +351,8 @@
     if (host.ip.empty()) {
         const std::string prefix = "127.1." + std::to_string(this->zoneNumber(zone)) + ".";
         host.zone = zone;
-        host.ip = prefix + std::to_string(++this->usedIps[prefix]);
-        this->network.nameSide(name, host.ip);
+        host.ip = prefix + std::to_string(++this->lastIpNumbers[prefix]);
+        this->network.nameEndpoint(name, host.ip);
         host.peerLink = this->network.addLink("peer:" + name, {});
         host.relayLink = this->network.addLink("relay:" + name, {});
     }
@@ -358,7 +361,7 @@
 
 auto Fleet::writeSettings(const std::string &name, const HostRecord &host) -> std::filesystem::path
 {
-    const std::filesystem::path file = this->temporary.file("host-" + name + ".toml");
+    const std::filesystem::path file = this->tempFolder.file("host-" + name + ".toml");
     std::ofstream out(file);
     const std::string anyPort = host.ip + ":0";
     writeSections(out,
@@ -386,15 +389,15 @@
 {
     auto list = nlohmann::json::array();
     for (const auto &[name, host] : this->hosts) {
-        if (!host.listed.empty()) {
+        if (!host.listedState.empty()) {
             list.push_back({ { "name", name },
                              { "zone", host.zone },
                              { "peer", host.peerLink },
                              { "relay", host.relayLink },
-                             { "state", host.listed } });
+                             { "state", host.listedState } });
         }
     }
-    this->configService.call({ { "cmd", "hosts" }, { "hosts", list } });
+    this->platformProcess.call({ { "cmd", "hosts" }, { "hosts", list } });
 }
 
 auto Fleet::applyEdit(const std::string &edit) -> void
@@ -411,8 +414,8 @@
     if (kind == "row") {
         this->addRow(record);
     } else {
-        this->addUpstream(this->deployment.anotherUpstream(words.at(2), record.at("service"),
-                                                           record.at("zone")));
+        this->addUpstream(this->deployment.additionalUpstream(words.at(2), record.at("service"),
+                                                              record.at("zone")));
     }
 }
 
@@ -421,7 +424,7 @@
     const auto &zones = this->deployment.zones;
     const auto found = std::find(zones.begin(), zones.end(), zone);
     if (found == zones.end()) {
-        throw std::runtime_error("no zone " + zone);
+        throw std::runtime_error("the deployment has no zone " + zone);
     }
     return static_cast<std::size_t>(found - zones.begin()) + 1;
 }
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -1,4 +1,4 @@
-/// A whole deployment as real processes on loopback.
+/// Runs a complete deployment as separate processes on the loopback interface.
 #pragma once
 
 #include "harness/deployment.h"
@@ -19,85 +19,92 @@
 
 namespace harness {
 
-/// Platform, upstreams, callers, fabric and entry hosts. Its destructor ends them all.
+/// Owns the processes of platform, upstreams, callers, fabric and entry hosts. The destructor kills
+/// them all.
 ///
-/// IP numbers: hosts 127.1.Z.N, upstreams 127.2.Z.N, platform 127.3.0.1, callers 127.4.0.1, links
-/// 127.9.0.1; every port is ephemeral.
-/// @remarks Not thread safe. Methods throw `std::runtime_error` where a process does not do its
-/// part in time.
+/// IP addresses: hosts 127.1.Z.N, upstreams 127.2.Z.N, platform 127.3.0.1, callers 127.4.0.1, links
+/// 127.9.0.1, where Z is the number of the zone. All ports are ephemeral.
+/// @remarks Not thread safe. Methods throw `std::runtime_error` if a process does not start, answer
+/// or stop within its time limit.
 class Fleet
 {
 public:
-    /// Starts all but the hosts and publishes the first table.
+    /// Starts all processes except the hosts and publishes the first table.
     Fleet(Loop &loop, Deployment deployment);
     Fleet(const Fleet &) = delete;
     auto operator=(const Fleet &) -> Fleet & = delete;
 
-    /// Starts every host of the deployment and waits until all are in the fabric.
+    /// Starts every host of the deployment and waits until all are targets of the fabric.
     auto startHosts() -> void;
 
-    /// Waits until every cell of the table has a home that can prove new keys fresh: a clock bound
-    /// after its tenure began.
-    auto waitSettled() -> void;
+    /// Waits until every cell of the table has a home, and then for one clock bound: a home can
+    /// prove that a new key is fresh only one clock bound after the start of its tenure.
+    auto waitForCellHomes() -> void;
 
-    /// Starts a host, new or of the deployment, and lists it as live.
-    /// @param wait whether to wait until it is in the fabric.
+    /// Starts a host of the deployment or a new one, and sets its state on the host list to live.
+    /// @param wait whether to wait until it is a target of the fabric.
     auto startHost(const std::string &name, const std::string &zone, bool wait) -> void;
 
-    /// Asks a host to stop; `waitStopped` waits for its last word and its end.
+    /// Sets a host to leaving and sends it SIGTERM. `waitStopped` waits for its exit.
     auto beginStop(const std::string &name) -> void;
+    /// Waits until a host has exited and takes it off the host list.
+    /// @returns its `stopped` event and its `exit_status`.
     auto waitStopped(const std::string &name, Millis limit) -> nlohmann::json;
 
-    /// Kills a host at once. The host list still has it.
+    /// Kills a host with SIGKILL. It remains on the host list.
     auto killHost(const std::string &name) -> void;
 
-    /// Returns a host that runs. Throws for another.
+    /// Returns a running host. Throws if there is none of that name.
     [[nodiscard]] auto host(const std::string &name) -> HostProcess &;
-    /// Returns the names of the hosts that run; those of one zone if it is given.
+    /// Returns the names of the running hosts, of one zone or of all zones if `zone` is empty.
     [[nodiscard]] auto runningHosts(const std::string &zone = {}) const -> std::vector<std::string>;
-    /// Returns the names of all hosts that were started, also of those that ended.
+    /// Returns the names of all hosts started so far, including those that have ended.
     [[nodiscard]] auto startedHosts() const -> std::vector<std::string>;
-    /// Returns the file with the log of all processes of a host.
+    /// Returns the log file of a host, to which all of its successive processes append.
     [[nodiscard]] auto logOf(const std::string &host) const -> std::filesystem::path;
-    /// Returns the host that says it is home of the service's cell in `zone`; empty for none.
+    /// Returns the running host that holds the tenure of the service's cell in `zone`, according to
+    /// its dump; empty if there is none.
     [[nodiscard]] auto homeOf(const std::string &service, const std::string &zone) -> std::string;
-    /// Returns the zone of a host. Precondition: it was started once.
+    /// Returns the zone of a host. Precondition: the deployment has it or it was started before.
     [[nodiscard]] auto zoneOf(const std::string &host) const -> std::string;
 
-    /// Applies edits to the table and publishes it. @returns its revision.
+    /// Applies edits to the table and publishes it. @returns the new revision.
     auto publish(const std::vector<std::string> &edits) -> std::uint64_t;
-    /// Publishes the table's text with `text` after it. @returns its revision.
+    /// Publishes the table with `text` appended to its TOML. @returns the new revision.
     auto publishText(const std::string &text) -> std::uint64_t;
-    /// Changes a host's state on the host list: "live", "leaving" or "" to take it off.
-    auto listHost(const std::string &name, const std::string &state) -> void;
+    /// Sets a host's state on the host list: "live", "leaving", or "" to remove the host.
+    auto setHostState(const std::string &name, const std::string &state) -> void;
 
-    /// Returns a page of a host's admin address as JSON: "dump", or "metrics" by name and labels.
-    /// Throws too if the dump shows an older table than an earlier dump of the process.
+    /// Returns a page of a host's admin address as JSON. `parseMetrics` converts "metrics"; other
+    /// pages, such as "dump", are JSON already. Also throws if the table revision in a dump is
+    /// lower than in an earlier dump of the same process.
     [[nodiscard]] auto adminPage(const std::string &host, const std::string &page)
             -> nlohmann::json;
 
-    /// Returns the address of a row, or of the row at one host alone.
+    /// Returns the address of a row. With `viaHost`, adds a link to that host's listener for the
+    /// row and returns the link's address.
     [[nodiscard]] auto rowAddress(const std::string &row, const std::string &viaHost = {})
             -> std::string;
 
-    /// Returns an upstream's process; a killed one too, until it is started again.
+    /// Returns an upstream's process, which may have been killed.
     [[nodiscard]] auto upstream(const std::string &name) -> Standin &;
     [[nodiscard]] auto upstreamNames() const -> std::vector<std::string>;
-    /// Starts an upstream of the deployment again after a kill.
+    /// Starts a new process for an upstream that was killed.
     auto restartUpstream(const std::string &name) -> void;
 
-    /// Returns the names of the sides that `words` stand for: a host, an upstream, a zone, "hosts",
-    /// "upstreams", "hosts of ZONE", "upstreams of ZONE", "platform", "callers", "not ZONE".
-    [[nodiscard]] auto sides(const std::string &words) const -> std::vector<std::string>;
+    /// Returns the names of the endpoints that `words` select: the name of a host, an upstream or a
+    /// zone, "hosts", "upstreams", "hosts of ZONE", "upstreams of ZONE", "platform", "callers" or
+    /// "not ZONE". "not ZONE" includes the platform. A name that is unknown selects nothing.
+    [[nodiscard]] auto endpoints(const std::string &words) const -> std::vector<std::string>;
 
     [[nodiscard]] auto fabric() -> Fabric & { return this->network; }
-    [[nodiscard]] auto platform() -> Standin & { return this->configService; }
+    [[nodiscard]] auto platform() -> Standin & { return this->platformProcess; }
     [[nodiscard]] auto callers() -> Standin & { return this->callerProcess; }
     [[nodiscard]] auto table() -> TableDraft & { return this->draft; }
     [[nodiscard]] auto plan() const -> const Deployment & { return this->deployment; }
     [[nodiscard]] auto revision() const -> std::uint64_t { return this->lastRevision; }
-    /// Returns the folder with settings and logs; it is removed with the fleet.
-    [[nodiscard]] auto folder() const -> const TempFolder & { return this->temporary; }
+    /// Returns the folder with settings and logs. The destructor removes it.
+    [[nodiscard]] auto folder() const -> const TempFolder & { return this->tempFolder; }
 
 private:
     struct HostRecord
@@ -106,10 +113,10 @@
         std::string ip;
         std::string peerLink;
         std::string relayLink;
-        std::string listed; ///< Its state on the host list; empty: not on it.
+        std::string listedState; ///< State on the host list; empty if not listed.
         bool running = false;
-        std::uint64_t revision = 0;           ///< Highest seen in dumps of the running process.
-        std::unique_ptr<HostProcess> process; ///< Kept after a kill: the fabric still checks it.
+        std::uint64_t revision = 0;           ///< Highest in the dumps of the running process.
+        std::unique_ptr<HostProcess> process; ///< Kept after a kill for the fabric's checks.
     };
 
     struct UpstreamRecord
@@ -125,23 +132,23 @@
     auto prepareHost(const std::string &name, const std::string &zone) -> HostRecord &;
     auto writeSettings(const std::string &name, const HostRecord &host) -> std::filesystem::path;
     auto publishHosts() -> void;
-    /// Throws if a process goes back to an older table.
-    auto noteRevision(const std::string &name, std::uint64_t revision) -> void;
+    /// Records the table revision of a host. Throws if the process has reverted to an older one.
+    auto recordRevision(const std::string &name, std::uint64_t revision) -> void;
     auto applyEdit(const std::string &edit) -> void;
     [[nodiscard]] auto zoneNumber(const std::string &zone) const -> std::size_t;
     auto onHostEvent(const std::string &name) -> void;
 
     Loop &loop;
     Deployment deployment;
-    TempFolder temporary;
+    TempFolder tempFolder;
     TableDraft draft;
     Fabric network;
-    Standin configService;
+    Standin platformProcess;
     Standin callerProcess;
     std::string platformLink;
     std::map<std::string, UpstreamRecord> upstreams;
     std::map<std::string, HostRecord> hosts;
-    std::map<std::string, std::size_t> usedIps; ///< Last number given out by prefix.
+    std::map<std::string, std::size_t> lastIpNumbers; ///< Last number assigned, by IP prefix.
     std::uint64_t lastRevision = 0;
 };
 
--- a/tests/harness/hostprocess.cpp
+++ b/tests/harness/hostprocess.cpp
@@ -6,7 +6,7 @@
 
 HostProcess::HostProcess(Loop &loop, std::string name, const std::filesystem::path &settings,
                          const std::filesystem::path &errorFile, std::function<void()> handler)
-    : hostName(std::move(name)), logFile(errorFile), onChange(std::move(handler)),
+    : hostName(std::move(name)), logFile(errorFile), onEvent(std::move(handler)),
       child(loop, { programPath("flamingograded"), { "--config", settings.string() }, errorFile },
             [this](const std::string &line) { this->onLine(line); })
 {}
@@ -22,13 +22,13 @@
     if (kind == "ready") {
         this->ready = std::move(event);
     } else if (kind == "listen") {
-        this->bound[event.at("address")] = event.at("bound");
+        this->boundAddresses[event.at("address")] = event.at("bound");
     } else if (kind == "unlisten") {
-        this->bound.erase(event.at("address").get<std::string>());
+        this->boundAddresses.erase(event.at("address").get<std::string>());
     } else if (kind == "stopped") {
         this->stopped = std::move(event);
     }
-    this->onChange();
+    this->onEvent();
 }
 
 } // namespace harness
--- a/tests/harness/hostprocess.h
+++ b/tests/harness/hostprocess.h
@@ -1,4 +1,4 @@
-/// One entry host under test.
+/// An entry host under test, as a child process.
 #pragma once
 
 #include "harness/loop.h"
@@ -14,26 +14,26 @@
 
 namespace harness {
 
-/// A running `flamingograded` and what it told on its standard output.
+/// A `flamingograded` process and the events that it reported on its standard output.
 /// @remarks Not thread safe.
 class HostProcess
 {
 public:
-    /// Starts the daemon with the settings file. `onChange` is called after each event it tells.
+    /// Starts the daemon with a settings file. Calls `onEvent` after each event that it reports.
     HostProcess(Loop &loop, std::string name, const std::filesystem::path &settings,
-                const std::filesystem::path &logFile, std::function<void()> onChange);
+                const std::filesystem::path &logFile, std::function<void()> onEvent);
 
     [[nodiscard]] auto name() const -> const std::string & { return this->hostName; }
     [[nodiscard]] auto isReady() const -> bool { return !this->ready.is_null(); }
-    /// Returns what it told with `ready`: admin, peer and relay addresses.
+    /// Returns the `ready` event with the admin, peer and relay addresses; null until it arrives.
     [[nodiscard]] auto readyEvent() const -> const nlohmann::json & { return this->ready; }
     [[nodiscard]] auto admin() const -> std::string { return this->ready.value("admin", ""); }
-    /// Returns where it listens for each row's address.
+    /// Returns the local address at which it listens, by row address.
     [[nodiscard]] auto listeners() const -> const std::map<std::string, std::string> &
     {
-        return this->bound;
+        return this->boundAddresses;
     }
-    /// Returns what it told with `stopped`; null before.
+    /// Returns the `stopped` event; null until it arrives.
     [[nodiscard]] auto stoppedEvent() const -> const nlohmann::json & { return this->stopped; }
     [[nodiscard]] auto process() -> Process & { return this->child; }
     [[nodiscard]] auto log() const -> const std::filesystem::path & { return this->logFile; }
@@ -43,10 +43,10 @@
 
     std::string hostName;
     std::filesystem::path logFile;
-    std::function<void()> onChange;
+    std::function<void()> onEvent;
     nlohmann::json ready;
     nlohmann::json stopped;
-    std::map<std::string, std::string> bound;
+    std::map<std::string, std::string> boundAddresses;
     Process child;
 };
 
--- a/tests/harness/httpget.cpp
+++ b/tests/harness/httpget.cpp
@@ -15,11 +15,11 @@
 namespace http = beast::http;
 using boost::asio::ip::tcp;
 
-/// One GET under way; keeps itself until it is done.
-class Get : public std::enable_shared_from_this<Get>
+/// A GET in progress. Its pending asynchronous operations keep it alive.
+class GetOperation : public std::enable_shared_from_this<GetOperation>
 {
 public:
-    Get(Loop &loop, std::function<void(HttpResult)> handler)
+    GetOperation(Loop &loop, std::function<void(HttpResult)> handler)
         : stream(loop.context()), onDone(std::move(handler))
     {
         this->parser.body_limit(boost::none);
@@ -29,7 +29,7 @@
     {
         const auto colon = address.rfind(':');
         if (colon == std::string::npos) {
-            this->onDone(tl::make_unexpected("no address"));
+            this->onDone(tl::make_unexpected("the address has no port"));
             return;
         }
         const auto ip = boost::asio::ip::make_address(address.substr(0, colon));
@@ -77,7 +77,7 @@
             return;
         }
         const auto &answer = this->parser.get();
-        this->onDone(HttpReply { static_cast<int>(answer.result_int()), answer.body() });
+        this->onDone(HttpResponse { static_cast<int>(answer.result_int()), answer.body() });
     }
 
     beast::tcp_stream stream;
@@ -92,7 +92,7 @@
 auto startGet(Loop &loop, const std::string &address, const std::string &target, Millis limit,
               std::function<void(HttpResult)> onDone) -> void
 {
-    std::make_shared<Get>(loop, std::move(onDone))->start(address, target, limit);
+    std::make_shared<GetOperation>(loop, std::move(onDone))->start(address, target, limit);
 }
 
 auto httpGet(Loop &loop, const std::string &address, const std::string &target, Millis limit)
@@ -102,7 +102,9 @@
     startGet(loop, address, target, limit,
              [result](HttpResult given) { *result = std::move(given); });
     loop.waitUntil([&] { return result->has_value(); }, limit + Millis(1000));
-    return result->has_value() ? **result : tl::make_unexpected(std::string("no answer"));
+    return result->has_value()
+                   ? **result
+                   : tl::make_unexpected(std::string("no answer within the time limit"));
 }
 
 } // namespace harness
--- a/tests/harness/httpget.h
+++ b/tests/harness/httpget.h
@@ -1,4 +1,4 @@
-/// One HTTP GET, for the admin pages of hosts.
+/// HTTP GET requests to the hosts' admin addresses.
 #pragma once
 
 #include "harness/loop.h"
@@ -10,22 +10,22 @@
 
 namespace harness {
 
-/// An answer.
-struct HttpReply
+struct HttpResponse
 {
     int status = 0;
     std::string body;
 };
 
-using HttpResult = tl::expected<HttpReply, std::string>; ///< Or what went wrong.
+using HttpResult = tl::expected<HttpResponse, std::string>; ///< The response or an error message.
 
-inline constexpr Millis httpLimit { 5000 }; ///< Longest wait for an admin page.
+inline constexpr Millis httpLimit { 5000 }; ///< Default time limit for an admin page.
 
-/// Starts a GET of `target` at `address` ("IP:PORT"); `onDone` is called once from the loop.
+/// Starts a GET of `target` at `address` ("IP:PORT"). Calls `onDone` exactly once: from the loop,
+/// or immediately if the address has no port.
 auto startGet(Loop &loop, const std::string &address, const std::string &target, Millis limit,
               std::function<void(HttpResult)> onDone) -> void;
 
-/// Gets `target` at `address` and waits for it.
+/// Runs a GET of `target` at `address` and waits for the result.
 auto httpGet(Loop &loop, const std::string &address, const std::string &target,
              Millis limit = httpLimit) -> HttpResult;
 
--- a/tests/harness/ledgercheck.cpp
+++ b/tests/harness/ledgercheck.cpp
@@ -10,48 +10,48 @@
 
 namespace {
 
-constexpr std::size_t allRuns = 1000000;
+constexpr std::size_t maxLedgerRuns = 1000000;
 
-using Names = std::set<std::string>;
+using KeySet = std::set<std::string>;
 
-/// What the ledgers of all upstreams say together.
-struct Sum
+/// The combined ledgers of all upstreams.
+struct LedgerSummary
 {
-    std::map<std::string, std::uint64_t> timesByKey;
+    std::map<std::string, std::uint64_t> runsByKey;
     std::map<std::string, std::uint64_t> totals;
-    Names wrongNotRun;
-    Names missing; ///< Answered, but in no ledger so far.
+    KeySet wrongNotRun;
+    KeySet missing; ///< Answered, but in none of the ledgers added so far.
     bool first = true;
 
     auto add(Standin &upstream, const nlohmann::json &verdicts) -> void;
 };
 
-auto namesIn(const nlohmann::json &list) -> Names
+auto toKeySet(const nlohmann::json &list) -> KeySet
 {
-    return list.get<Names>();
+    return list.get<KeySet>();
 }
 
-auto Sum::add(Standin &upstream, const nlohmann::json &verdicts) -> void
+auto LedgerSummary::add(Standin &upstream, const nlohmann::json &verdicts) -> void
 {
-    const auto ledger = upstream.call({ { "cmd", "ledger" }, { "limit", allRuns } });
+    const auto ledger = upstream.call({ { "cmd", "ledger" }, { "limit", maxLedgerRuns } });
     for (const auto &run : ledger.at("runs")) {
-        this->timesByKey[run.at("key")] += run.at("times").get<std::uint64_t>();
+        this->runsByKey[run.at("key")] += run.at("times").get<std::uint64_t>();
     }
     for (const auto &[name, count] : ledger.at("totals").items()) {
         this->totals[name] += count.get<std::uint64_t>();
     }
     const auto check = upstream.call({ { "cmd", "ledger_check" }, { "verdicts", verdicts } });
-    this->wrongNotRun.merge(namesIn(check.at("wrong_not_run")));
-    const Names missingHere = namesIn(check.at("answered_not_run"));
+    this->wrongNotRun.merge(toKeySet(check.at("wrong_not_run")));
+    const KeySet missingInLedger = toKeySet(check.at("answered_not_run"));
     if (this->first) {
-        this->missing = missingHere;
+        this->missing = missingInLedger;
         this->first = false;
         return;
     }
-    Names both;
-    std::set_intersection(this->missing.begin(), this->missing.end(), missingHere.begin(),
-                          missingHere.end(), std::inserter(both, both.end()));
-    this->missing = std::move(both);
+    KeySet missingInBoth;
+    std::set_intersection(this->missing.begin(), this->missing.end(), missingInLedger.begin(),
+                          missingInLedger.end(), std::inserter(missingInBoth, missingInBoth.end()));
+    this->missing = std::move(missingInBoth);
 }
 
 auto verdictsOf(Fleet &fleet, const std::vector<std::string> &loads) -> nlohmann::json
@@ -70,27 +70,27 @@
 auto checkLedgers(Fleet &fleet, const std::vector<std::string> &loads) -> nlohmann::json
 {
     const nlohmann::json verdicts = verdictsOf(fleet, loads);
-    Sum sum;
+    LedgerSummary summary;
     for (const std::string &name : fleet.upstreamNames()) {
-        sum.add(fleet.upstream(name), verdicts);
+        summary.add(fleet.upstream(name), verdicts);
     }
-    Names doubles;
-    for (const auto &[key, times] : sum.timesByKey) {
+    KeySet doubleRuns;
+    for (const auto &[key, times] : summary.runsByKey) {
         if (times > 1) {
-            doubles.insert(key);
+            doubleRuns.insert(key);
         }
     }
     return { { "checked", verdicts.size() },
-             { "runs", sum.totals["runs"] },
-             { "double_runs", doubles.size() },
-             { "wrong_not_run", sum.wrongNotRun.size() },
-             { "missing_runs", sum.missing.size() },
-             { "misdirected", sum.totals["misdirected"] },
-             { "over_slots", sum.totals["over_slots"] },
+             { "runs", summary.totals["runs"] },
+             { "double_runs", doubleRuns.size() },
+             { "wrong_not_run", summary.wrongNotRun.size() },
+             { "missing_runs", summary.missing.size() },
+             { "misdirected", summary.totals["misdirected"] },
+             { "over_slots", summary.totals["over_slots"] },
              { "keys",
-               { { "double_runs", doubles },
-                 { "wrong_not_run", sum.wrongNotRun },
-                 { "missing_runs", sum.missing } } } };
+               { { "double_runs", doubleRuns },
+                 { "wrong_not_run", summary.wrongNotRun },
+                 { "missing_runs", summary.missing } } } };
 }
 
 } // namespace harness
--- a/tests/harness/ledgercheck.h
+++ b/tests/harness/ledgercheck.h
@@ -1,4 +1,4 @@
-/// Judges what was run by what the upstreams wrote down.
+/// Verifies request execution against the ledgers kept by the upstreams.
 #pragma once
 
 #include "harness/fleet.h"
@@ -10,10 +10,11 @@
 
 namespace harness {
 
-/// Compares the ledgers of all upstreams with what the callers of `loads` were told.
-/// @returns `runs`, `double_runs` (keys run more than once anywhere), `wrong_not_run` (keys told
-/// "not-run" that were run), `missing_runs` (keys told "run" that no ledger has), `misdirected`,
-/// `over_slots`, and the `keys` at fault.
+/// Compares the ledgers of all upstreams with the verdicts that the callers of `loads` received.
+/// @returns the number of verdicts `checked`, `runs`, `double_runs` (keys that ran more than once
+/// across all upstreams), `wrong_not_run` (keys reported as "not-run" that did run),
+/// `missing_runs` (keys reported as "run" that are in no ledger), `misdirected`, `over_slots`, and
+/// the offending `keys`.
 [[nodiscard]] auto checkLedgers(Fleet &fleet, const std::vector<std::string> &loads)
         -> nlohmann::json;
 
--- a/tests/harness/logfile.h
+++ b/tests/harness/logfile.h
@@ -1,4 +1,4 @@
-/// Reads the log of a host.
+/// Reads the log files of hosts.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,10 +9,10 @@
 
 namespace harness {
 
-/// Returns the last `count` lines of `file`, each indented.
+/// Returns the last `count` lines of `file`, each indented by four spaces.
 [[nodiscard]] auto lastLines(const std::filesystem::path &file, std::size_t count) -> std::string;
 
-/// Returns how often each numbered event stands in the log, such as `{"302": 1}`.
+/// Returns the number of occurrences of each event number in the log, such as `{"302": 1}`.
 [[nodiscard]] auto countEvents(const std::filesystem::path &file) -> nlohmann::json;
 
 } // namespace harness
--- a/tests/harness/loop.cpp
+++ b/tests/harness/loop.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis slice { 20 }; ///< Longest time between two looks at the condition.
+constexpr Millis maxPollInterval { 20 }; ///< Longest time between two evaluations of the condition.
 
 } // namespace
 
@@ -30,7 +30,7 @@
             return false;
         }
         this->io.restart();
-        this->io.run_one_until(std::min(deadline, now + slice));
+        this->io.run_one_until(std::min(deadline, now + maxPollInterval));
         if (this->signal != 0) {
             throw Interrupted(this->signal);
         }
--- a/tests/harness/loop.h
+++ b/tests/harness/loop.h
@@ -1,4 +1,4 @@
-/// The one event loop of a test program.
+/// The event loop of a test program.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,9 +12,9 @@
 
 using Millis = std::chrono::milliseconds;
 
-inline constexpr Millis defaultLimit { 20000 }; ///< Longest wait for an event that must come.
+inline constexpr Millis defaultLimit { 20000 }; ///< Default time limit for an expected event.
 
-/// Thrown out of a wait after SIGINT or SIGTERM, so that all child processes are cleaned up.
+/// Thrown by a wait after SIGINT or SIGTERM, so that stack unwinding kills all child processes.
 struct Interrupted : std::runtime_error
 {
     explicit Interrupted(int number) : std::runtime_error("interrupted"), signal(number) {}
@@ -22,7 +22,7 @@
 };
 
 /// Runs the callbacks of pipes, timers and sockets while the test waits.
-/// @remarks Not thread safe. Takes over SIGINT and SIGTERM while it lives; ignores SIGPIPE.
+/// @remarks Not thread safe. Handles SIGINT and SIGTERM during its lifetime; ignores SIGPIPE.
 class Loop
 {
 public:
@@ -30,8 +30,9 @@
 
     [[nodiscard]] auto context() -> boost::asio::io_context & { return this->io; }
 
-    /// Runs callbacks until `done` or the time limit. Throws `Interrupted` after a signal.
-    /// @returns whether `done` became true.
+    /// Runs callbacks until `done` returns true or `limit` has passed. Throws `Interrupted` after a
+    /// signal.
+    /// @returns whether `done` returned true.
     auto waitUntil(const std::function<bool()> &done, Millis limit = defaultLimit) -> bool;
 
     /// Runs callbacks for `time`.
--- a/tests/harness/metricstext.h
+++ b/tests/harness/metricstext.h
@@ -1,4 +1,4 @@
-/// Reads the Prometheus text format.
+/// Parses the Prometheus text format.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,8 +7,8 @@
 
 namespace harness {
 
-/// Returns the samples of `text` as a JSON object: each by its name with labels as written, and the
-/// sum over all labels by its bare name.
+/// Returns the samples of `text` as a JSON object. Each sample is under its name with the labels as
+/// written. The sum over all labels is under the name alone.
 [[nodiscard]] auto parseMetrics(const std::string &text) -> nlohmann::json;
 
 } // namespace harness
--- a/tests/harness/packetfleet.cpp
+++ b/tests/harness/packetfleet.cpp
@@ -21,7 +21,7 @@
 constexpr Millis startLimit { 15000 };
 constexpr Millis stopLimit { 15000 };
 constexpr Millis pollPeriod { 20 };
-constexpr Millis finishTime { 1500 }; ///< For requests under way when the load ends.
+constexpr Millis loadFinishTime { 1500 }; ///< For requests that are pending when the load ends.
 constexpr const char *feedAddress = "127.99.0.1:8443";
 constexpr const char *resolutionsAddress = "127.99.0.1:8080";
 constexpr const char *papersAddress = "127.99.0.2:8443";
@@ -37,7 +37,7 @@
     return { std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>() };
 }
 
-/// Returns a row as the platform publishes it.
+/// Returns a row in the format in which the platform publishes it.
 auto rowOf(const std::string &name, const std::string &address, const std::string &kind,
            const std::string &service) -> json
 {
@@ -57,8 +57,8 @@
 
 PacketFleet::PacketFleet(Loop &eventLoop)
     : loop(eventLoop), storeProcess(eventLoop, "store", { { "listen", "127.3.0.1:0" } },
-                                    this->temporary.file("store.log")),
-      packetsProcess(eventLoop, "packets", { { "seed", 1 } }, this->temporary.file("packets.log"))
+                                    this->tempFolder.file("store.log")),
+      packetsProcess(eventLoop, "packets", { { "seed", 1 } }, this->tempFolder.file("packets.log"))
 {
     this->publishRows();
 }
@@ -99,8 +99,8 @@
 auto PacketFleet::addUpstream(const std::string &name, const std::string &service, std::size_t zone)
         -> void
 {
-    const auto ip =
-            "127.2." + std::to_string(zone) + "." + std::to_string(++this->lastUpstream[zone]);
+    const auto ip = "127.2." + std::to_string(zone) + "."
+                    + std::to_string(++this->lastUpstreamNumbers[zone]);
     const auto made = this->packetsProcess.call({ { "cmd", "upstream" },
                                                   { "name", name },
                                                   { "service", service },
@@ -138,18 +138,18 @@
 {
     auto &host = this->hosts[name];
     host.zone = zone;
-    host.ip = "127.1." + std::to_string(zone) + "." + std::to_string(++this->lastHost[zone]);
+    host.ip = "127.1." + std::to_string(zone) + "." + std::to_string(++this->lastHostNumbers[zone]);
     this->startHost(name, wait);
 }
 
 auto PacketFleet::settingsOf(const std::string &name) const -> std::filesystem::path
 {
-    return this->temporary.file(name + ".toml");
+    return this->tempFolder.file(name + ".toml");
 }
 
 auto PacketFleet::logOf(const std::string &name) const -> std::filesystem::path
 {
-    return this->temporary.file(name + ".log");
+    return this->tempFolder.file(name + ".log");
 }
 
 auto PacketFleet::writeSettings(const std::string &name) -> void
@@ -173,7 +173,8 @@
     };
     auto text = fillTemplate(
             readFile(std::string(FLAMINGOGRADE_SOURCE_FOLDER) + "/platform/settings.toml"), fields);
-    // Other test runs on the machine may have the fixed port, and callers are at one of their own.
+    // Port 9100 may be in use by another test run on the same machine. The callers' port is
+    // ephemeral too.
     text = std::regex_replace(text, std::regex(":9100"), ":0");
     const auto port = this->packetsProcess.readyEvent().at("caller_port").get<int>();
     text = std::regex_replace(text, std::regex("\\[packets\\]"),
@@ -188,15 +189,15 @@
     host.process = std::make_unique<HostProcess>(this->loop, name, this->settingsOf(name),
                                                  this->logOf(name), [] {});
     if (!this->loop.waitUntil([&] { return host.process->isReady(); }, startLimit)) {
-        throw std::runtime_error("host " + name + " did not start");
+        throw std::runtime_error("host " + name + " did not send its ready event in time");
     }
-    this->noteReady(name);
+    this->registerHost(name);
     if (wait) {
         this->waitInRotation(name);
     }
 }
 
-auto PacketFleet::noteReady(const std::string &name) -> void
+auto PacketFleet::registerHost(const std::string &name) -> void
 {
     const auto &host = this->hosts.at(name);
     const auto &ready = host.process->readyEvent();
@@ -216,7 +217,8 @@
             return;
         }
         if (std::chrono::steady_clock::now() > deadline) {
-            throw std::runtime_error("host " + name + " did not become ready\n" + this->logs());
+            throw std::runtime_error("host " + name + " did not enter rotation in time\n"
+                                     + this->logs());
         }
         this->loop.runFor(pollPeriod);
     }
@@ -258,11 +260,11 @@
 auto PacketFleet::endLoad() -> json
 {
     this->packetsProcess.call({ { "cmd", "stop_load" } });
-    this->loop.runFor(finishTime);
+    this->loop.runFor(loadFinishTime);
     return this->packetsProcess.call({ { "cmd", "report" } });
 }
 
-auto PacketFleet::stopHost(const std::string &name, bool again) -> void
+auto PacketFleet::stopHost(const std::string &name, bool restart) -> void
 {
     auto &process = this->host(name);
     process.process().kill(SIGTERM);
@@ -270,19 +272,19 @@
         return process.process().outputEnded() && process.process().exitStatus().has_value();
     };
     if (!this->loop.waitUntil(ended, stopLimit) || process.stoppedEvent().is_null()) {
-        throw std::runtime_error("host " + name + " did not stop in order\n" + this->logs());
+        throw std::runtime_error("host " + name + " did not stop cleanly in time\n" + this->logs());
     }
-    if (again) {
+    if (restart) {
         this->startHost(name, true);
     }
 }
 
-auto PacketFleet::killHost(const std::string &name, bool again) -> void
+auto PacketFleet::killHost(const std::string &name, bool restart) -> void
 {
     auto &process = this->host(name).process();
     process.kill(SIGKILL);
     this->loop.waitUntil([&] { return process.exitStatus().has_value(); }, stopLimit);
-    if (again) {
+    if (restart) {
         this->startHost(name, true);
     }
 }
@@ -291,7 +293,7 @@
 {
     const auto page = httpGet(this->loop, this->host(name).admin(), "/metrics");
     if (!page) {
-        throw std::runtime_error("no metrics of " + name + ": " + page.error());
+        throw std::runtime_error("cannot read the metrics of host " + name + ": " + page.error());
     }
     return parseMetrics(page->body).value("flamingograde_" + metricName, 0.0);
 }
@@ -300,10 +302,10 @@
 {
     const auto deadline = std::chrono::steady_clock::now() + limit;
     const auto names = this->hostNames();
-    const auto hasIt = [&](const std::string &name) {
+    const auto hasRevision = [&](const std::string &name) {
         return this->metric(name, "directory_revision") >= static_cast<double>(revision);
     };
-    while (!std::all_of(names.begin(), names.end(), hasIt)) {
+    while (!std::all_of(names.begin(), names.end(), hasRevision)) {
         if (std::chrono::steady_clock::now() > deadline) {
             return false;
         }
--- a/tests/harness/process.cpp
+++ b/tests/harness/process.cpp
@@ -29,8 +29,8 @@
     return ends;
 }
 
-/// Becomes the program. Only calls that are safe between fork and exec.
-[[noreturn]] auto becomeProgram(pid_t parent, char *const *arguments, int in, int out, int error)
+/// Replaces the forked child by the program. Uses only calls that are safe between fork and exec.
+[[noreturn]] auto execProgram(pid_t parent, char *const *arguments, int in, int out, int error)
         -> void
 {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -58,10 +58,10 @@
     return std::filesystem::read_symlink("/proc/self/exe").parent_path() / name;
 }
 
-/// Reads lines from the child's output. Outlives the process object while a read is pending.
-struct Process::Reader : std::enable_shared_from_this<Process::Reader>
+/// Reads lines from the child's output. A pending read keeps it alive beyond the `Process`.
+struct Process::LineReader : std::enable_shared_from_this<Process::LineReader>
 {
-    Reader(Loop &loop, int descriptor, LineHandler handler)
+    LineReader(Loop &loop, int descriptor, LineHandler handler)
         : stream(loop.context(), descriptor), onLine(std::move(handler))
     {}
 
@@ -109,13 +109,13 @@
     const pid_t parent = getpid();
     this->child = fork();
     if (this->child == 0) {
-        becomeProgram(parent, arguments.data(), in[0], out[1], error);
+        execProgram(parent, arguments.data(), in[0], out[1], error);
     }
     close(in[0]);
     close(out[1]);
     close(error);
     this->input = in[1];
-    this->reader = std::make_shared<Reader>(loop, out[0], std::move(onLine));
+    this->reader = std::make_shared<LineReader>(loop, out[0], std::move(onLine));
     this->reader->read();
 }
 
--- a/tests/harness/standin.cpp
+++ b/tests/harness/standin.cpp
@@ -12,13 +12,14 @@
 {
     const auto isReady = [this] { return !this->ready.is_null() || this->child.outputEnded(); };
     if (!this->loop.waitUntil(isReady) || this->ready.is_null()) {
-        throw std::runtime_error("stand-in " + this->kind + " did not start");
+        throw std::runtime_error("stand-in " + this->kind
+                                 + " did not send its ready event in time");
     }
 }
 
 auto Standin::call(nlohmann::json command, Millis limit) -> nlohmann::json
 {
-    return this->take(this->send(std::move(command)), limit);
+    return this->waitForAnswer(this->send(std::move(command)), limit);
 }
 
 auto Standin::send(nlohmann::json command) -> std::uint64_t
@@ -33,20 +34,21 @@
     this->posted.insert(this->send(std::move(command)));
 }
 
-auto Standin::take(std::uint64_t id, Millis limit) -> nlohmann::json
+auto Standin::waitForAnswer(std::uint64_t id, Millis limit) -> nlohmann::json
 {
-    const auto isThere = [this, id] {
+    const auto isDone = [this, id] {
         return this->answers.count(id) != 0 || this->child.outputEnded();
     };
-    this->loop.waitUntil(isThere, limit);
+    this->loop.waitUntil(isDone, limit);
     const auto found = this->answers.find(id);
     if (found == this->answers.end()) {
-        throw std::runtime_error("stand-in " + this->kind + " did not answer");
+        throw std::runtime_error("stand-in " + this->kind + " did not answer a command in time");
     }
     nlohmann::json answer = std::move(found->second);
     this->answers.erase(found);
     if (answer.value("event", "") == "error") {
-        throw std::runtime_error("stand-in " + this->kind + ": " + answer.dump());
+        throw std::runtime_error("stand-in " + this->kind
+                                 + " rejected a command: " + answer.dump());
     }
     return answer;
 }
--- a/tests/harness/standin.h
+++ b/tests/harness/standin.h
@@ -1,4 +1,4 @@
-/// The control protocol of a stand-in process.
+/// Runs a stand-in process and speaks its control protocol.
 #pragma once
 
 #include "harness/loop.h"
@@ -14,7 +14,7 @@
 
 namespace harness {
 
-/// A running stand-in, told what to do by JSON lines as tests/standins/README.md describes.
+/// A running stand-in, controlled by JSON lines as described in tests/standins/README.md.
 /// @remarks Not thread safe.
 class Standin
 {
@@ -23,20 +23,20 @@
     Standin(Loop &loop, const std::string &kind, const nlohmann::json &options,
             const std::filesystem::path &errorFile);
 
-    /// Sends a command and waits for its answer. Throws `std::runtime_error` for an `error`
-    /// answer, a process that ended, or none within `limit`.
+    /// Sends a command and waits for its answer. Throws `std::runtime_error` if the answer is an
+    /// `error`, the process has ended, or no answer arrives within `limit`.
     auto call(nlohmann::json command, Millis limit = defaultLimit) -> nlohmann::json;
 
-    /// Sends a command without waiting. @returns its number, for `take`.
+    /// Sends a command without waiting. @returns its id, for `waitForAnswer`.
     auto send(nlohmann::json command) -> std::uint64_t;
 
-    /// Sends a command whose answer nobody waits for. May be called from the loop's callbacks.
+    /// Sends a command and discards its answer. May be called from callbacks of the loop.
     auto post(nlohmann::json command) -> void;
 
     /// Waits for the answer to command `id`. Throws as `call` does.
-    auto take(std::uint64_t id, Millis limit = defaultLimit) -> nlohmann::json;
+    auto waitForAnswer(std::uint64_t id, Millis limit = defaultLimit) -> nlohmann::json;
 
-    /// Returns what it said at its start.
+    /// Returns the `ready` event that it sent at its start.
     [[nodiscard]] auto readyEvent() const -> const nlohmann::json & { return this->ready; }
     [[nodiscard]] auto process() -> Process & { return this->child; }
 
--- a/tests/harness/tabledraft.cpp
+++ b/tests/harness/tabledraft.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-constexpr std::size_t secretBytes = 16; ///< Length of a token key made here.
+constexpr std::size_t secretBytes = 16; ///< Length of a generated token key.
 
-/// Reads a value of an edit: a number, true, false, or else a text.
-auto valueOf(const std::string &text) -> nlohmann::ordered_json
+/// Parses the value of an edit as JSON, such as a number or true. Anything else is a string.
+auto parseValue(const std::string &text) -> nlohmann::ordered_json
 {
     auto value = nlohmann::ordered_json::parse(text, nullptr, false);
     return value.is_discarded() ? nlohmann::ordered_json(text) : value;
 }
 
-auto isNamed(const TableDraft::Record &record, const std::string &name) -> bool
+auto hasName(const TableDraft::Record &record, const std::string &name) -> bool
 {
     const char *field = record.contains("id") ? "id" : "name";
-    return record.at(field) == valueOf(name);
+    return record.at(field) == parseValue(name);
 }
 
-/// Returns a secret that differs for each key id.
-auto secretOf(int id) -> std::string
+/// Returns a hexadecimal secret that is derived from the key id.
+auto makeSecret(int id) -> std::string
 {
     std::ostringstream text;
     for (std::size_t i = 0; i < secretBytes; ++i) {
@@ -52,9 +52,9 @@
 {
     auto &list = this->records.at(kind);
     const auto found = std::find_if(list.begin(), list.end(),
-                                    [&](const Record &record) { return isNamed(record, name); });
+                                    [&](const Record &record) { return hasName(record, name); });
     if (found == list.end()) {
-        throw std::runtime_error("no " + kind + " " + name);
+        throw std::runtime_error("the table has no " + kind + " " + name);
     }
     return *found;
 }
@@ -74,7 +74,8 @@
                   this->find(words.at(1), words.at(3)).at("address"));
     } else if (verb == "key") {
         const int id = std::stoi(words.at(1));
-        this->add("token_key", { { "id", id }, { "secret", secretOf(id) }, { "signing", false } });
+        this->add("token_key",
+                  { { "id", id }, { "secret", makeSecret(id) }, { "signing", false } });
     } else if (verb == "sign") {
         this->sign(words.at(1));
     } else {
@@ -102,9 +103,9 @@
     for (std::size_t i = from; i < words.size(); ++i) {
         const auto equals = words[i].find('=');
         if (equals == std::string::npos) {
-            throw std::runtime_error("not field=value: " + words[i]);
+            throw std::runtime_error("expected field=value, got " + words[i]);
         }
-        record[words[i].substr(0, equals)] = valueOf(words[i].substr(equals + 1));
+        record[words[i].substr(0, equals)] = parseValue(words[i].substr(equals + 1));
     }
 }
 
@@ -112,14 +113,14 @@
 {
     auto &list = this->records.at(kind);
     list.erase(std::remove_if(list.begin(), list.end(),
-                              [&](const Record &record) { return isNamed(record, name); }),
+                              [&](const Record &record) { return hasName(record, name); }),
                list.end());
 }
 
 auto TableDraft::sign(const std::string &id) -> void
 {
     for (Record &key : this->records.at("token_key")) {
-        key["signing"] = isNamed(key, id);
+        key["signing"] = hasName(key, id);
     }
 }
 
--- a/tests/harness/tabledraft.h
+++ b/tests/harness/tabledraft.h
@@ -1,4 +1,4 @@
-/// The table of services as a test edits it.
+/// A table of services that a test can edit.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,14 +9,14 @@
 
 namespace harness {
 
-/// One edit, split into words, such as `upstream pack-z1-1 state=draining`.
+/// The words of one edit, such as `upstream pack-z1-1 state=draining`.
 using EditWords = std::vector<std::string>;
 
-/// Returns the words of `text`.
+/// Splits `text` at white space.
 [[nodiscard]] auto splitWords(const std::string &text) -> EditWords;
 
-/// Rows, upstreams and token keys with the fields of docs/TABLE.md.
-/// @remarks Not thread safe. Each record is found by its `name`, a token key by its `id`.
+/// Holds rows, upstreams and token keys, with the fields described in docs/TABLE.md.
+/// @remarks Not thread safe. Records are identified by their `name`, token keys by their `id`.
 class TableDraft
 {
 public:
@@ -34,14 +34,15 @@
         return this->records.at(kind);
     }
 
-    /// Applies one edit; throws `std::runtime_error` for one that means nothing.
+    /// Applies one edit. Throws `std::runtime_error` if it names no record or has a malformed
+    /// field.
     ///
     /// `KIND NAME field=value...` sets fields, `add KIND NAME field=value...` adds a record,
-    /// `remove KIND NAME` removes one, `swap KIND NAME NAME` exchanges two addresses,
-    /// `key ID` adds a token key and `sign ID` makes it the signing one.
+    /// `remove KIND NAME` removes a record, `swap KIND NAME NAME` exchanges the addresses of two
+    /// records, `key ID` adds a token key and `sign ID` makes it the only signing key.
     auto apply(const EditWords &words) -> void;
 
-    /// Returns the table's text.
+    /// Returns the table as TOML.
     [[nodiscard]] auto toToml() const -> std::string;
 
 private:
--- a/tests/harness/tempfolder.cpp
+++ b/tests/harness/tempfolder.cpp
@@ -10,7 +10,7 @@
 {
     std::string name = (std::filesystem::temp_directory_path() / "flamingograde-XXXXXX").string();
     if (mkdtemp(name.data()) == nullptr) {
-        throw std::runtime_error("no temporary folder");
+        throw std::runtime_error("cannot create a temporary folder");
     }
     this->path = name;
 }
--- a/tests/harness/tempfolder.h
+++ b/tests/harness/tempfolder.h
@@ -1,4 +1,4 @@
-/// A folder for the files of one test.
+/// A temporary folder for the files of one test.
 #pragma once
 
 #include <filesystem>
@@ -6,7 +6,7 @@
 
 namespace harness {
 
-/// Made under the system's temporary folder; removed with its content by the destructor,
+/// Creates a folder in the system's temporary folder. The destructor removes it with its content,
 /// unless the environment variable FLAMINGOGRADE_KEEP is set.
 class TempFolder
 {
@@ -16,7 +16,7 @@
     TempFolder(const TempFolder &) = delete;
     auto operator=(const TempFolder &) -> TempFolder & = delete;
 
-    /// Returns the path of `name` in it.
+    /// Returns the path of the file `name` in the folder.
     [[nodiscard]] auto file(const std::string &name) const -> std::filesystem::path
     {
         return this->path / name;
--- a/tests/harness/template.cpp
+++ b/tests/harness/template.cpp
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-/// Returns the value at a path such as "a.b.0", or null; "." is the current entry.
-auto valueAt(const json &fields, const std::string &path) -> json
+/// Returns the value at a path such as "a.b.0", or null. The path "." is the current entry.
+auto fieldAt(const json &fields, const std::string &path) -> json
 {
     if (path == ".") {
         return fields;
@@ -29,7 +29,7 @@
     return value;
 }
 
-auto textOf(const json &value) -> std::string
+auto renderValue(const json &value) -> std::string
 {
     if (value.is_null()) {
         return {};
@@ -37,14 +37,15 @@
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-/// Returns the entries that a section is rendered for.
-auto entriesOf(const json &value) -> std::vector<json>
+/// Returns the entries for each of which a section is rendered: the elements of an array, the value
+/// itself, or none for null and false.
+auto sectionEntries(const json &value) -> std::vector<json>
 {
     if (value.is_array()) {
         return value.get<std::vector<json>>();
     }
-    const auto isThere = !value.is_null() && value != json(false);
-    return isThere ? std::vector<json> { value } : std::vector<json> {};
+    const auto isRendered = !value.is_null() && value != json(false);
+    return isRendered ? std::vector<json> { value } : std::vector<json> {};
 }
 
 } // namespace
@@ -66,18 +67,18 @@
             const auto endMark = "{{/" + name.substr(1) + "}}";
             const auto end = text.find(endMark, at);
             if (end == std::string::npos) {
-                throw std::runtime_error("a section without an end: " + name);
+                throw std::runtime_error("template section has no end tag: " + name);
             }
-            for (const auto &entry : entriesOf(valueAt(fields, name.substr(1)))) {
+            for (const auto &entry : sectionEntries(fieldAt(fields, name.substr(1)))) {
                 result += fillTemplate(text.substr(at, end - at), entry);
             }
             at = end + endMark.size();
             continue;
         }
-        const auto bar = name.find("|json");
-        const auto isJson = bar != std::string::npos;
-        const auto value = valueAt(fields, name.substr(0, bar));
-        result += isJson ? value.dump() : textOf(value);
+        const auto filter = name.find("|json");
+        const auto isJson = filter != std::string::npos;
+        const auto value = fieldAt(fields, name.substr(0, filter));
+        result += isJson ? value.dump() : renderValue(value);
     }
 }
 
--- a/tests/harness/template.h
+++ b/tests/harness/template.h
@@ -1,4 +1,4 @@
-/// Fills in a settings template as the platform does.
+/// Renders settings templates in the same way as the platform.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,8 +7,8 @@
 
 namespace harness {
 
-/// Returns `text` with its placeholders filled in: {{a}}, {{a.b}}, {{a.0}}, {{a|json}} and the
-/// sections {{#a}} .. {{/a}}. Throws `std::runtime_error` for a section without an end.
+/// Returns `text` with values for its placeholders {{a}}, {{a.b}}, {{a.0}} and {{a|json}}, and with
+/// its sections {{#a}} .. {{/a}} rendered. Throws `std::runtime_error` if a section has no end tag.
 [[nodiscard]] auto fillTemplate(const std::string &text, const nlohmann::json &fields)
         -> std::string;
 
--- a/tests/harness/tomlfile.h
+++ b/tests/harness/tomlfile.h
@@ -1,4 +1,4 @@
-/// Reads TOML files of tests as JSON values.
+/// Reads TOML files as JSON values.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 
 namespace harness {
 
-/// Returns the content of `file`. Throws `std::runtime_error` with the fault's place.
+/// Returns the content of `file`. Throws `std::runtime_error` with the position of a syntax error.
 [[nodiscard]] auto readToml(const std::filesystem::path &file) -> nlohmann::json;
 
 } // namespace harness
--- a/tests/harness/uuid.h
+++ b/tests/harness/uuid.h
@@ -1,4 +1,4 @@
-/// Idempotency keys with a time of birth.
+/// Idempotency keys that contain their time of creation.
 #pragma once
 
 #include "harness/loop.h"
@@ -7,7 +7,8 @@
 
 namespace harness {
 
-/// Returns a new UUIDv7 born `age` ago. @remarks Random bits come from a fixed seed.
+/// Returns a new UUIDv7 with a time stamp that is `age` in the past.
+/// @remarks The random bits come from a generator with a fixed seed.
 [[nodiscard]] auto makeUuid7(Millis age) -> std::string;
 
 } // namespace harness
--- a/tests/packets/changetests.cpp
+++ b/tests/packets/changetests.cpp
@@ -1,4 +1,4 @@
-/// Planned change under load: stops, drains, additions, rows, settings.
+/// Planned changes under load: host restarts, upstream changes, row and settings updates.
 #include "fleettest.h"
 
 #include <csignal>
@@ -6,7 +6,7 @@
 
 using harness::Millis;
 
-TEST_CASE("hosts stop in turn, upstreams come and go, rows change, and nobody notices", "[fleet]")
+TEST_CASE("host restarts, upstream changes and a row update under load fail no request", "[fleet]")
 {
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
@@ -22,14 +22,15 @@
     fleet.unregisterUpstream("live-1-1");
     const auto report = fleet.endLoad();
     INFO(fleet.logs());
-    checkPromises(report);
+    checkGuarantees(report);
     CHECK(report.at("failed") == 0);
     CHECK(report.at("refused") == 0);
     CHECK(report.at("latest_opening_ms") < 1000);
     CHECK(report.at("runs").at("live-1-new") > 0);
 }
 
-TEST_CASE("a host reads its settings again on SIGHUP, and without a signal", "[fleet]")
+TEST_CASE("SIGHUP and a change of the settings file each make a host read its settings again",
+          "[fleet]")
 {
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
@@ -43,17 +44,18 @@
     };
     fleet.host("host-1-1").process().kill(SIGHUP);
     CHECK(loop.waitUntil([&] { return logged("SettingsRead"); }));
-    // A faulty file is told, and the host goes on.
+    // An invalid file is logged, and the host keeps running.
     std::ofstream(fleet.settingsOf("host-1-1"), std::ios::app) << "[lisen]\nx = 1\n";
     CHECK(loop.waitUntil([&] { return logged("SettingRefused"); }));
     fleet.host("host-1-1").process().kill(SIGPIPE);
     const auto report = fleet.endLoad();
-    checkPromises(report, 10);
+    checkGuarantees(report, 10);
     CHECK(report.at("failed") == 0);
     CHECK_FALSE(fleet.host("host-1-1").process().exitStatus());
 }
 
-TEST_CASE("evacuating a zone and ending it under load fails no request, also while a host restarts",
+TEST_CASE("a zone evacuation that begins and ends under load fails no request, even if a host "
+          "restarts",
           "[fleet]")
 {
     harness::Loop loop;
@@ -76,7 +78,7 @@
     checkEvacuatedZones(0);
     const auto report = fleet.endLoad();
     INFO(fleet.logs());
-    checkPromises(report);
+    checkGuarantees(report);
     CHECK(report.at("failed") == 0);
     CHECK(report.at("refused") == 0);
 }
--- a/tests/packets/faulttests.cpp
+++ b/tests/packets/faulttests.cpp
@@ -1,4 +1,4 @@
-/// Faults under load: the store, hosts and upstreams.
+/// Faults of the store, of hosts and of upstreams, most of them under load.
 #include "fleettest.h"
 
 #include <csignal>
@@ -6,7 +6,8 @@
 
 using harness::Millis;
 
-TEST_CASE("traffic goes on whatever the store does, and a change is in force after it", "[fleet]")
+TEST_CASE("requests succeed during store faults, and a row update takes effect after each fault",
+          "[fleet]")
 {
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
@@ -22,12 +23,12 @@
     }
     const auto report = fleet.endLoad();
     INFO(fleet.logs());
-    checkPromises(report);
+    checkGuarantees(report);
     CHECK(report.at("failed") == 0);
     CHECK(report.at("refused") == 0);
 }
 
-TEST_CASE("history that the store forgot, slow and lost answers delay a change by seconds at most",
+TEST_CASE("slow or lost store answers and dropped history delay a row update by seconds at most",
           "[fleet]")
 {
     harness::Loop loop;
@@ -36,7 +37,7 @@
     fleet.store().call({ { "cmd", "slow" }, { "ms", 300 } });
     CHECK(fleet.waitRevision(fleet.publishRows(), Millis(3000)));
     fleet.store().call({ { "cmd", "slow" }, { "ms", 0 } });
-    // A host that was away while the history went reads everything.
+    // Hosts that could not read the store while it dropped its history read all values again.
     fleet.store().call({ { "cmd", "mode" }, { "mode", "busy" } });
     const auto revision = fleet.publishRows();
     fleet.store().call({ { "cmd", "forget" } });
@@ -46,7 +47,7 @@
     CHECK(fleet.waitRevision(fleet.publishRows(), Millis(8000)));
 }
 
-TEST_CASE("a host that the store turns away hears of changes from the others", "[fleet]")
+TEST_CASE("a host without access to the store receives row updates from its peers", "[fleet]")
 {
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
@@ -64,7 +65,9 @@
     }
 }
 
-TEST_CASE("a host that starts while the store is silent takes all from its peers", "[fleet]")
+TEST_CASE(
+        "a host that starts while the store does not answer gets rows and upstreams from its peers",
+        "[fleet]")
 {
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
@@ -89,12 +92,12 @@
     loop.runFor(Millis(1000));
     const auto report = fleet.endLoad();
     INFO(fleet.logs());
-    checkPromises(report);
-    // Callers resend within their deadline until the fabric has noticed.
+    checkGuarantees(report);
+    // Callers retransmit within their deadline until the fabric has detected the failed host.
     CHECK(report.at("failed") < report.at("asked").get<double>() / 10);
 }
 
-TEST_CASE("an upstream that falls silent gets no new flows", "[fleet]")
+TEST_CASE("a silent upstream is detected and no flow breaks", "[fleet]")
 {
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
@@ -104,51 +107,53 @@
     fleet.packets().call({ { "cmd", "fail" }, { "name", "live-1-2" }, { "dark", true } });
     CHECK(loop.waitUntil([&] { return fleet.metric("host-1-1", "upstreams_silent") == 1; },
                          Millis(3000)));
-    // The load lasts as long as it took, and a second more.
+    // The load continues for one second after the silence was detected.
     loop.runFor(Millis(1000));
     const auto report = fleet.endLoad();
     INFO(fleet.logs());
-    checkPromises(report, 50);
+    checkGuarantees(report, 50);
 }
 
-TEST_CASE("bytes that are no packet, and packets that belong nowhere, change nothing", "[fleet]")
+TEST_CASE("malformed and undeliverable packets are dropped without effect on requests", "[fleet]")
 {
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
     fleet.start(1, 1, 2);
     fleet.beginLoad(40);
-    const auto zeros = [](std::size_t bytes) { return std::string(2 * bytes, '0'); };
-    // Addresses of a row and a caller, then a flag's byte at offset 30.
-    const std::string ends = "0100637ffb20"
-                             "0900647f0a00";
+    const auto zeroHex = [](std::size_t bytes) { return std::string(2 * bytes, '0'); };
+    // The addresses of a row and of a caller. The byte with the flags is at offset 30.
+    const std::string addresses = "0100637ffb20"
+                                  "0900647f0a00";
     const auto packet = [&](const std::string &cookie, const std::string &flags) {
-        return ends + "00000000" + cookie + zeros(8) + "0000" + flags + zeros(5);
+        return addresses + "00000000" + cookie + zeroHex(8) + "0000" + flags + zeroHex(5);
     };
-    const auto malformed = fleet.metric("host-1-1", "datagrams_malformed_total");
-    const std::vector<std::string> wrong { "", "00", zeros(35), zeros(1300), zeros(40) };
-    for (const auto &hex : wrong) {
+    const auto malformedBefore = fleet.metric("host-1-1", "datagrams_malformed_total");
+    const std::vector<std::string> malformedPackets { "", "00", zeroHex(35), zeroHex(1300),
+                                                      zeroHex(40) };
+    for (const auto &hex : malformedPackets) {
         fleet.packets().call({ { "cmd", "raw" }, { "hex", hex } });
     }
-    const std::vector<std::string> strange {
+    const std::vector<std::string> undeliverable {
         packet("00000000", "20"), // No cookie.
-        packet("efbeadde", "20"), // A cookie of nobody.
-        packet("00000000", "11"), // Opens and resets.
-        packet("00000000", "24"), // Handed back by an upstream.
-        packet("00000000", "10"), // A reset of nothing.
-        zeros(36),                // To an address that no row has.
+        packet("efbeadde", "20"), // A cookie that no flow has.
+        packet("00000000", "11"), // Opens and resets at once.
+        packet("00000000", "24"), // Returned by an upstream.
+        packet("00000000", "10"), // Resets no existing flow.
+        zeroHex(36),              // Sent to an address that no row has.
     };
-    for (const auto &hex : strange) {
+    for (const auto &hex : undeliverable) {
         fleet.packets().call({ { "cmd", "raw" }, { "hex", hex } });
     }
     loop.runFor(Millis(500));
-    CHECK(fleet.metric("host-1-1", "datagrams_malformed_total") - malformed == wrong.size());
+    CHECK(fleet.metric("host-1-1", "datagrams_malformed_total") - malformedBefore
+          == malformedPackets.size());
     const auto report = fleet.endLoad();
-    checkPromises(report, 10);
+    checkGuarantees(report, 10);
     CHECK(report.at("failed") == 0);
     CHECK_FALSE(fleet.host("host-1-1").process().exitStatus());
 }
 
-TEST_CASE("store values that cannot be read are told, and the last good ones stay", "[fleet]")
+TEST_CASE("unreadable store values leave the last valid rows and upstreams in force", "[fleet]")
 {
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
--- a/tests/packets/fleettest.h
+++ b/tests/packets/fleettest.h
@@ -1,16 +1,16 @@
-/// What the tests of this folder share.
+/// Checks shared by the tests of this folder.
 #pragma once
 
 #include "harness/packetfleet.h"
 
 #include <catch2/catch.hpp>
 
-/// What must hold whatever happens.
-/// @param least requests that the load must have made for the rest to mean anything.
-inline auto checkPromises(const nlohmann::json &report, int least = 100) -> void
+/// Checks the guarantees that must hold in spite of any change or fault.
+/// @param minRequests number of requests below which the other checks would not be meaningful.
+inline auto checkGuarantees(const nlohmann::json &report, int minRequests = 100) -> void
 {
     INFO(report.dump());
-    CHECK(report.at("asked") >= least);
+    CHECK(report.at("asked") >= minRequests);
     CHECK(report.at("broken_flows") == 0);
     CHECK(report.at("double_runs") == 0);
     CHECK(report.at("wrong_service") == 0);
--- a/tests/packets/starttests.cpp
+++ b/tests/packets/starttests.cpp
@@ -1,4 +1,4 @@
-/// What a host's start costs.
+/// Limits on the cost of a host's start.
 #include "fleettest.h"
 
 #include <fstream>
@@ -23,11 +23,11 @@
 
 } // namespace
 
-TEST_CASE("a host loads few shared libraries, each of which delays its start", "[start]")
+TEST_CASE("a host loads few shared libraries, because each delays its start", "[start]")
 {
-    // 20 before spdlog by its headers took log4cxx's place: with a twentieth of a core, hosts
-    // carried packets 47 ms later after a cut of power.
-    constexpr std::size_t most = 14;
+    // With log4cxx there were 20, and hosts with a twentieth of a core took 47 ms longer to carry
+    // packets after a power failure. Header-only spdlog replaced it.
+    constexpr std::size_t maxLibraries = 14;
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
     fleet.start(1, 1, 1);
@@ -36,10 +36,10 @@
         UNSCOPED_INFO(library);
     }
     CHECK(libraries.size() > 2);
-    CHECK(libraries.size() <= most);
+    CHECK(libraries.size() <= maxLibraries);
 }
 
-TEST_CASE("a start reads rows and upstreams with one call", "[start]")
+TEST_CASE("a starting host reads rows and upstreams from the store with one call", "[start]")
 {
     harness::Loop loop;
     harness::PacketFleet fleet(loop);
--- a/tests/scenarios/interruption.cpp
+++ b/tests/scenarios/interruption.cpp
@@ -1,4 +1,4 @@
-/// The demo leaves no process behind, however it ends.
+/// Tests that no child process outlives an interrupted or killed demo.
 #include <catch2/catch.hpp>
 
 #include "harness/loop.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Returns the children of a process as the kernel lists them.
+/// Returns the child processes that the kernel lists for a process.
 auto childrenOf(pid_t parent) -> std::vector<pid_t>
 {
     const std::string number = std::to_string(parent);
@@ -37,12 +37,12 @@
 
 } // namespace
 
-TEST_CASE("the demo leaves no process behind", "[demo]")
+TEST_CASE("no child process outlives a demo that ends by SIGINT, SIGTERM or SIGKILL", "[demo]")
 {
     const int signal = GENERATE(SIGINT, SIGTERM, SIGKILL);
     harness::Loop loop;
     harness::TempFolder folder;
-    // A killed demo cannot remove its files: they go with this folder.
+    // A killed demo cannot remove its files. They are removed with this folder.
     setenv("TMPDIR", folder.file("").c_str(), 1);
     bool loaded = false;
     harness::Process demo(
--- a/tests/scenarios/main.cpp
+++ b/tests/scenarios/main.cpp
@@ -1,4 +1,4 @@
-/// Runs each scenario of this folder as a test case of its file's name.
+/// Registers each scenario file of this folder as a test case that has the name of the file.
 #define CATCH_CONFIG_RUNNER
 #include <catch2/catch.hpp>
 
@@ -15,14 +15,15 @@
 
 namespace fs = std::filesystem;
 
-/// Set by the first interruption: the remaining cases do not run.
-auto interruption() -> int &
+/// Returns the signal that interrupted a scenario, or 0. Once it is set, the remaining cases fail
+/// without running.
+auto interruptSignal() -> int &
 {
     static int signal = 0;
     return signal;
 }
 
-/// One scenario as a Catch2 test.
+/// Runs one scenario as a Catch2 test.
 class ScenarioTest : public Catch::ITestInvoker
 {
 public:
@@ -30,7 +31,7 @@
 
     auto invoke() const -> void override
     {
-        if (interruption() != 0) {
+        if (interruptSignal() != 0) {
             FAIL("interrupted");
         }
         try {
@@ -40,7 +41,7 @@
             INFO(runner.report());
             CHECK(failure == "");
         } catch (const harness::Interrupted &stop) {
-            interruption() = stop.signal;
+            interruptSignal() = stop.signal;
         }
     }
 
@@ -69,9 +70,9 @@
 {
     registerScenarios(FLAMINGOGRADE_SCENARIOS);
     const int result = Catch::Session().run(argc, argv);
-    if (interruption() != 0) {
-        std::signal(interruption(), SIG_DFL);
-        std::raise(interruption());
+    if (interruptSignal() != 0) {
+        std::signal(interruptSignal(), SIG_DFL);
+        std::raise(interruptSignal());
     }
     return result;
 }
--- a/tests/scenarios/steprunner.cpp
+++ b/tests/scenarios/steprunner.cpp
@@ -14,17 +14,17 @@
 
 constexpr Millis pollPeriod { 50 };
 constexpr Millis stopLimit { 70000 };
-constexpr std::size_t logLines = 15; ///< Of each host in a report.
+constexpr std::size_t logLines = 15; ///< Lines of each host's log in a report.
 constexpr const char *callersIp = "127.4.0.1";
 
-/// Returns the time that `field` of a step gives in milliseconds.
-auto timeOf(const nlohmann::json &step, const char *field, Millis otherwise) -> Millis
+/// Returns the duration that `field` of a step gives in milliseconds.
+auto durationOf(const nlohmann::json &step, const char *field, Millis defaultValue) -> Millis
 {
-    return Millis(step.value(field, otherwise.count()));
+    return Millis(step.value(field, defaultValue.count()));
 }
 
-/// Returns `field` as a list of texts, whether it holds one text, a list, or nothing.
-auto textsOf(const nlohmann::json &step, const char *field) -> std::vector<std::string>
+/// Returns `field` as a list of strings. The field may hold a string or a list, or be absent.
+auto stringsOf(const nlohmann::json &step, const char *field) -> std::vector<std::string>
 {
     const auto value = step.value(field, nlohmann::json::array());
     if (value.is_string()) {
@@ -33,8 +33,8 @@
     return value.get<std::vector<std::string>>();
 }
 
-/// Returns the fields of `step` that a stand-in takes.
-auto withoutOwnFields(nlohmann::json step) -> nlohmann::json
+/// Returns `step` without the fields that only the step runner uses, as a command for a stand-in.
+auto toStandinCommand(nlohmann::json step) -> nlohmann::json
 {
     for (const char *field :
          { "do", "row", "via", "eq", "ne", "ge", "le", "as", "wait", "one_way" }) {
@@ -53,7 +53,7 @@
 {
     for (std::size_t i = 0; i < this->steps.size(); ++i) {
         try {
-            this->takeStep(this->substitute(this->steps[i]));
+            this->runStep(this->substitute(this->steps[i]));
         } catch (const harness::Interrupted &) {
             throw;
         } catch (const std::exception &error) {
@@ -66,7 +66,7 @@
 
 auto StepRunner::report() -> std::string
 {
-    std::string text = this->measured;
+    std::string text = this->measurements;
     for (const std::string &load : this->loads) {
         text += "load " + load + ": "
                 + this->fleet.callers().call({ { "cmd", "report" }, { "name", load } }).dump()
@@ -98,11 +98,11 @@
     return map;
 }
 
-auto StepRunner::takeStep(const Step &step) -> void
+auto StepRunner::runStep(const Step &step) -> void
 {
     const auto handler = handlers().find(step.at("do").get<std::string>());
     if (handler == handlers().end()) {
-        throw std::runtime_error("no such step");
+        throw std::runtime_error("unknown kind of step");
     }
     (this->*handler->second)(step);
 }
@@ -119,7 +119,7 @@
     if (!value.is_string()) {
         return result;
     }
-    // In the order of falling names, so that a name goes before the names that it begins with.
+    // Descending order of names, so that a name is replaced before any name that is a prefix of it.
     auto text = value.get<std::string>();
     for (auto it = this->variables.rbegin(); it != this->variables.rend(); ++it) {
         const std::string mark = "$" + it->first;
@@ -143,7 +143,7 @@
     if (!step.contains("host")) {
         this->fleet.startHosts();
         if (step.value("settled", true)) {
-            this->fleet.waitSettled();
+            this->fleet.waitForCellHomes();
         }
         return;
     }
@@ -162,7 +162,7 @@
     if (!step.value("wait", true)) {
         return;
     }
-    const auto last = this->fleet.waitStopped(host, timeOf(step, "limit_ms", stopLimit));
+    const auto last = this->fleet.waitStopped(host, durationOf(step, "limit_ms", stopLimit));
     const auto failed = harness::failedConditions(step, last);
     if (!failed.empty()) {
         throw std::runtime_error(failed.front());
@@ -192,14 +192,14 @@
 {
     const auto expand = [&](const char *field) {
         auto names = nlohmann::json::array();
-        for (const std::string &words : textsOf(step, field)) {
-            for (const std::string &name : this->fleet.sides(words)) {
+        for (const std::string &words : stringsOf(step, field)) {
+            for (const std::string &name : this->fleet.endpoints(words)) {
                 names.push_back(name);
             }
         }
         return names;
     };
-    Step command = withoutOwnFields(step);
+    Step command = toStandinCommand(step);
     command["cmd"] = "fault";
     command["kind"] = step.at("do");
     command["from"] = expand("from");
@@ -223,7 +223,7 @@
 
 auto StepRunner::doPlatform(const Step &step) -> void
 {
-    Step command = withoutOwnFields(step);
+    Step command = toStandinCommand(step);
     command["cmd"] = step.contains("hosts_lag_ms") ? "hosts_lag" : "mode";
     command["ms"] = step.value("hosts_lag_ms", step.value("ms", 0));
     this->fleet.platform().call(command);
@@ -239,14 +239,14 @@
     } else if (step.contains("text")) {
         revision = this->fleet.publishText(step.at("text"));
     } else {
-        revision = this->fleet.publish(textsOf(step, "edit"));
+        revision = this->fleet.publish(stringsOf(step, "edit"));
     }
     this->variables[step.value("as", "revision")] = revision;
 }
 
 auto StepRunner::doHosts(const Step &step) -> void
 {
-    this->fleet.listHost(step.at("host"), step.value("state", ""));
+    this->fleet.setHostState(step.at("host"), step.value("state", ""));
 }
 
 auto StepRunner::doFabric(const Step &step) -> void
@@ -265,7 +265,7 @@
                      { "keyed", idempotent ? 0.0 : 1.0 },
                      { "source", callersIp },
                      { "name", row } };
-    command.update(withoutOwnFields(step));
+    command.update(toStandinCommand(step));
     command["address"] = this->fleet.rowAddress(row, step.value("via", ""));
     this->loads.push_back(command.at("name"));
     this->fleet.callers().call(command);
@@ -273,19 +273,19 @@
 
 auto StepRunner::doFinish(const Step &step) -> void
 {
-    for (const std::string &load : textsOf(step, "load")) {
+    for (const std::string &load : stringsOf(step, "load")) {
         if (step.value("stop", false)) {
             this->fleet.callers().call({ { "cmd", "stop" }, { "name", load } });
         }
         this->fleet.callers().call({ { "cmd", "wait" }, { "name", load } },
-                                   timeOf(step, "limit_ms", stopLimit));
+                                   durationOf(step, "limit_ms", stopLimit));
     }
 }
 
 auto StepRunner::doRequest(const Step &step) -> void
 {
     Step command = { { "method", "POST" }, { "path", "/" }, { "source", callersIp } };
-    command.update(withoutOwnFields(step));
+    command.update(toStandinCommand(step));
     command["cmd"] = "request";
     command["address"] = this->fleet.rowAddress(step.at("row"), step.value("via", ""));
     const std::string name = step.value("as", "last");
@@ -294,10 +294,11 @@
         this->pendingRequests[name] = id;
         return;
     }
-    this->requests[name] = this->fleet.callers().take(id, stopLimit);
+    this->requests[name] = this->fleet.callers().waitForAnswer(id, stopLimit);
     const auto failed = harness::failedConditions(step, this->requests[name]);
     if (!failed.empty()) {
-        throw std::runtime_error(failed.front() + " in " + this->requests[name].dump());
+        throw std::runtime_error(failed.front() + "; the answer was "
+                                 + this->requests[name].dump());
     }
 }
 
@@ -307,7 +308,7 @@
     command["cmd"] = "set";
     const std::string name = step.at("upstream");
     for (const std::string &each :
-         name == "all" ? this->fleet.upstreamNames() : this->fleet.sides(name)) {
+         name == "all" ? this->fleet.upstreamNames() : this->fleet.endpoints(name)) {
         this->fleet.upstream(each).call(command);
     }
 }
@@ -326,14 +327,14 @@
 auto StepRunner::doKey(const Step &step) -> void
 {
     this->variables[step.value("as", "key")] =
-            harness::makeUuid7(timeOf(step, "age_ms", Millis(0)));
+            harness::makeUuid7(durationOf(step, "age_ms", Millis(0)));
 }
 
 auto StepRunner::doNote(const Step &step) -> void
 {
     const auto value = harness::valueAt(this->observe(step).front(), step.at("path"));
     this->variables[step.at("as")] = value;
-    this->measured += step.at("as").get<std::string>() + " = " + value.dump() + "\n";
+    this->measurements += step.at("as").get<std::string>() + " = " + value.dump() + "\n";
 }
 
 auto StepRunner::doSleepUntil(const Step &step) -> void
@@ -342,7 +343,7 @@
     const auto passed = [&] {
         return std::chrono::duration_cast<Millis>(std::chrono::steady_clock::now() - begin);
     };
-    const Millis limit = timeOf(step, "limit_ms", harness::defaultLimit);
+    const Millis limit = durationOf(step, "limit_ms", harness::defaultLimit);
     std::vector<std::string> failed = this->failures(step);
     while (!failed.empty()) {
         if (passed() > limit) {
@@ -351,7 +352,7 @@
         this->loop.runFor(pollPeriod);
         failed = this->failures(step);
     }
-    this->measured += std::to_string(passed().count()) + " ms: " + step.dump() + "\n";
+    this->measurements += std::to_string(passed().count()) + " ms: " + step.dump() + "\n";
 }
 
 auto StepRunner::doExpect(const Step &step) -> void
@@ -368,7 +369,7 @@
 
 auto StepRunner::doWait(const Step &step) -> void
 {
-    this->loop.runFor(timeOf(step, "ms", Millis(0)));
+    this->loop.runFor(durationOf(step, "ms", Millis(0)));
 }
 
 auto StepRunner::processOf(const Step &step) -> harness::Process &
@@ -397,7 +398,7 @@
         const std::string name = step.at("request");
         const auto pending = this->pendingRequests.find(name);
         if (pending != this->pendingRequests.end()) {
-            this->requests[name] = this->fleet.callers().take(pending->second, stopLimit);
+            this->requests[name] = this->fleet.callers().waitForAnswer(pending->second, stopLimit);
             this->pendingRequests.erase(pending);
         }
         return { this->requests.at(name) };
@@ -412,8 +413,9 @@
 {
     const std::string page = step.value("page", "dump");
     std::vector<nlohmann::json> values;
-    for (const std::string &words : textsOf(step, "host")) {
-        const auto names = words == "all" ? this->fleet.runningHosts() : this->fleet.sides(words);
+    for (const std::string &words : stringsOf(step, "host")) {
+        const auto names =
+                words == "all" ? this->fleet.runningHosts() : this->fleet.endpoints(words);
         for (const std::string &host : names) {
             values.push_back(page == "log" ? harness::countEvents(this->fleet.logOf(host))
                                            : this->fleet.adminPage(host, page));
@@ -421,7 +423,7 @@
         }
     }
     if (values.empty()) {
-        throw std::runtime_error("nothing to look at");
+        throw std::runtime_error("the step selects no host");
     }
     if (step.value("sum", false)) {
         nlohmann::json sum;
--- a/tests/scenarios/steprunner.h
+++ b/tests/scenarios/steprunner.h
@@ -12,18 +12,18 @@
 #include <string>
 #include <vector>
 
-/// Owns the fleet of one scenario and takes its steps in order.
+/// Owns the fleet of one scenario and runs its steps in order.
 /// @remarks Not thread safe.
 class StepRunner
 {
 public:
     StepRunner(harness::Loop &loop, const ScenarioFile &scenario);
 
-    /// Takes all steps. @returns the first failure with its step; empty for success.
+    /// Runs the steps until one fails. @returns the failure with its step; empty on success.
     [[nodiscard]] auto run() -> std::string;
 
-    /// Returns the state for a reader who looks for a failure's cause: what was measured, the
-    /// reports of all loads and the last lines of each host's log.
+    /// Returns diagnostics for a failure: the measurements, the reports of all loads and the last
+    /// lines of each host's log.
     [[nodiscard]] auto report() -> std::string;
 
 private:
@@ -32,8 +32,9 @@
 
     static auto handlers() -> const std::map<std::string, Handler> &;
 
-    auto takeStep(const Step &step) -> void;
-    /// Replaces each text "$NAME" by the variable's value, and "$NAME" inside texts.
+    auto runStep(const Step &step) -> void;
+    /// Replaces a string "$NAME" by the value of the variable NAME. Inside a longer string,
+    /// replaces the first occurrence of each variable.
     [[nodiscard]] auto substitute(const nlohmann::json &value) const -> nlohmann::json;
 
     auto doStart(const Step &step) -> void;
@@ -58,21 +59,21 @@
     auto doExpect(const Step &step) -> void;
     auto doWait(const Step &step) -> void;
 
-    /// Returns the process that a step names with `host` or `upstream`.
+    /// Returns the process that the field `host` or `upstream` of a step names.
     auto processOf(const Step &step) -> harness::Process &;
-    /// Returns the values that a step looks at: one, or one for each host.
+    /// Returns the values that a step checks: a single one, or one for each host.
     auto observe(const Step &step) -> std::vector<nlohmann::json>;
     auto observeHosts(const Step &step) -> std::vector<nlohmann::json>;
-    /// Returns all conditions of the step that do not hold now.
+    /// Returns a message for each condition of the step that does not hold at present.
     auto failures(const Step &step) -> std::vector<std::string>;
 
     harness::Loop &loop;
     nlohmann::json steps;
     harness::Fleet fleet;
     std::map<std::string, nlohmann::json> variables;
-    std::map<std::string, nlohmann::json> requests; ///< Answers by the step's name.
+    std::map<std::string, nlohmann::json> requests; ///< Answers, by the field `as` of the step.
     std::map<std::string, std::uint64_t> pendingRequests;
     std::vector<std::string> loads;
     std::map<std::string, std::vector<nlohmann::json>> faults;
-    std::string measured; ///< How long each wait took.
+    std::string measurements; ///< Duration of each wait, and noted values.
 };
