--- a/tests/standins/common/asio.h
+++ b/tests/standins/common/asio.h
@@ -1,4 +1,4 @@
-/// Shorthands for the libraries that every stand-in uses.
+/// Namespace and type aliases of Boost.Asio and the JSON library, shared by all stand-ins.
 #pragma once
 
 #include <boost/asio.hpp>
--- a/tests/standins/common/bodyhash.h
+++ b/tests/standins/common/bodyhash.h
@@ -1,4 +1,4 @@
-/// The hash by which a body is compared at both ends.
+/// The hash by which caller and upstream check that a body arrived unchanged.
 #pragma once
 
 #include <string>
--- a/tests/standins/common/control.cpp
+++ b/tests/standins/common/control.cpp
@@ -61,7 +61,7 @@
 {
     const Json command = Json::parse(line, nullptr, false);
     if (!command.is_object()) {
-        printError(nullptr, "not a JSON object: " + line);
+        printError(nullptr, "command line is not a JSON object: " + line);
         return;
     }
     try {
--- a/tests/standins/common/endpoint.cpp
+++ b/tests/standins/common/endpoint.cpp
@@ -12,7 +12,7 @@
 {
     const auto colon = text.rfind(':');
     if (colon == std::string::npos) {
-        throw std::invalid_argument("not IP:PORT: " + text);
+        throw std::invalid_argument("expected IP:PORT, got: " + text);
     }
     ErrorCode error;
     const auto ip = asio::ip::make_address(text.substr(0, colon), error);
@@ -20,7 +20,7 @@
     const char *end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data() + colon + 1, end, port);
     if (error || parsed.ec != std::errc() || parsed.ptr != end) {
-        throw std::invalid_argument("not IP:PORT: " + text);
+        throw std::invalid_argument("expected IP:PORT, got: " + text);
     }
     return { ip, port };
 }
@@ -32,13 +32,13 @@
 
 auto bindSource(Tcp::socket &socket, const asio::ip::address &source, ErrorCode &error) -> void
 {
-    using BindWithoutPort =
+    using BindAddressNoPort =
             asio::detail::socket_option::boolean<IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT>;
     socket.open(Tcp::v4(), error);
     if (error) {
         return;
     }
-    socket.set_option(BindWithoutPort(true), error);
+    socket.set_option(BindAddressNoPort(true), error);
     if (error) {
         return;
     }
--- a/tests/standins/common/httpanswer.h
+++ b/tests/standins/common/httpanswer.h
@@ -1,4 +1,4 @@
-/// An HTTP answer and its bytes.
+/// An HTTP/1.1 response and the serialization of its head.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace standins {
 
-/// A whole HTTP/1.1 answer.
+/// A complete HTTP/1.1 response.
 struct HttpAnswer
 {
     unsigned status = 200;
@@ -15,7 +15,8 @@
     std::string body;
 };
 
-/// Returns the head of `answer` with its Content-Length, up to and with the empty line.
+/// Returns the status line and headers of `answer`, including its Content-Length, up to and
+/// including the empty line.
 [[nodiscard]] auto headOf(const HttpAnswer &answer) -> std::string;
 
 } // namespace standins
--- a/tests/standins/common/httpconnection.cpp
+++ b/tests/standins/common/httpconnection.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::uint64_t bodyMax = 256U << 20U; ///< Largest request body.
+constexpr std::uint64_t bodyMax = 256U << 20U; ///< Largest accepted request body, in bytes.
 
 } // namespace
 
@@ -28,14 +28,14 @@
 
 auto HttpConnection::onClosed(std::function<void()> handler) -> void
 {
-    this->closed = std::move(handler);
+    this->closeHandler = std::move(handler);
 }
 
 auto HttpConnection::answer(const HttpAnswer &answer) -> void
 {
-    this->closed = nullptr;
+    this->closeHandler = nullptr;
     auto bytes = std::make_shared<const std::string>(headOf(answer) + answer.body);
-    this->write(std::move(bytes), [this] { this->finish(); });
+    this->write(std::move(bytes), [this] { this->onAnswerWritten(); });
 }
 
 auto HttpConnection::write(std::shared_ptr<const std::string> bytes, std::function<void()> done)
@@ -54,14 +54,14 @@
 auto HttpConnection::close() -> void
 {
     ErrorCode ignored;
-    this->closed = nullptr;
+    this->closeHandler = nullptr;
     this->socket.shutdown(Tcp::socket::shutdown_both, ignored);
     this->socket.close(ignored);
 }
 
 auto HttpConnection::reset() -> void
 {
-    this->closed = nullptr;
+    this->closeHandler = nullptr;
     resetSocket(this->socket);
 }
 
@@ -72,29 +72,29 @@
     http::async_read(this->socket, this->buffer, *this->parser,
                      [self = this->shared_from_this()](ErrorCode error, std::size_t) {
                          if (error) {
-                             self->fail();
+                             self->onReadFailed();
                              return;
                          }
                          HttpRequest request = self->parser->release();
-                         if (self->busy) {
+                         if (self->answerPending) {
                              self->pipelined = std::move(request);
                              return;
                          }
-                         self->take(std::move(request));
+                         self->dispatch(std::move(request));
                      });
 }
 
-auto HttpConnection::take(HttpRequest request) -> void
+auto HttpConnection::dispatch(HttpRequest request) -> void
 {
-    this->busy = true;
+    this->answerPending = true;
     this->keepAlive = request.keep_alive();
     this->read();
     (*this->handler)(this->shared_from_this(), std::move(request));
 }
 
-auto HttpConnection::finish() -> void
+auto HttpConnection::onAnswerWritten() -> void
 {
-    this->busy = false;
+    this->answerPending = false;
     if (!this->keepAlive) {
         this->close();
         return;
@@ -102,15 +102,15 @@
     if (this->pipelined) {
         HttpRequest request = std::move(*this->pipelined);
         this->pipelined.reset();
-        this->take(std::move(request));
+        this->dispatch(std::move(request));
     }
 }
 
-auto HttpConnection::fail() -> void
+auto HttpConnection::onReadFailed() -> void
 {
     ErrorCode ignored;
     this->socket.close(ignored);
-    if (const auto handler = std::exchange(this->closed, nullptr)) {
+    if (const auto handler = std::exchange(this->closeHandler, nullptr)) {
         handler();
     }
 }
--- a/tests/standins/common/httpconnection.h
+++ b/tests/standins/common/httpconnection.h
@@ -1,4 +1,4 @@
-/// The server's side of one HTTP/1.1 connection.
+/// The server side of one HTTP/1.1 connection.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -18,31 +18,33 @@
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// Reads requests one after the other, and notices when the peer closes while one is under way.
+/// Handles the requests of a connection one after the other. Keeps reading while a request is
+/// unanswered, in order to detect that the peer closes the connection.
 /// @remarks Not thread safe. Kept alive by its pending read.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection>
 {
 public:
     using Ptr = std::shared_ptr<HttpConnection>;
-    /// Takes a request; answers it by `answer`, or by `write` and `close`, at any time.
+    /// Handles a request. Answers it, at once or later, with `answer`, or with `write` and `close`.
     using Handler = std::function<void(const Ptr &, HttpRequest)>;
 
     HttpConnection(Tcp::socket socket, std::shared_ptr<const Handler> handler);
 
-    /// Starts to read. Precondition: owned by a shared pointer.
+    /// Starts reading requests. Precondition: owned by a shared pointer.
     auto start() -> void;
-    /// Calls `handler` once if the peer closes before the request under way is answered.
+    /// Sets a handler that is called once if the connection is closed or fails before the current
+    /// request is answered.
     auto onClosed(std::function<void()> handler) -> void;
-    /// Answers the request under way.
+    /// Answers the current request.
     auto answer(const HttpAnswer &answer) -> void;
-    /// Writes raw bytes and calls `done`, unless the connection fails before.
-    /// Precondition: no other write is under way.
+    /// Writes raw bytes and then calls `done`, which is not called if the write fails.
+    /// Precondition: no other write is pending.
     auto write(std::shared_ptr<const std::string> bytes, std::function<void()> done) -> void;
-    /// Closes in order, whatever has been answered.
+    /// Shuts down and closes the connection, even if the current request is unanswered.
     auto close() -> void;
-    /// Closes with a reset.
+    /// Closes the connection with a TCP reset.
     auto reset() -> void;
-    /// Returns the IP number of the other side; empty once it is closed.
+    /// Returns the IP address of the peer; empty once the socket is closed.
     [[nodiscard]] auto peerIp() const -> std::string
     {
         ErrorCode failed;
@@ -50,22 +52,22 @@
         return failed ? std::string() : peer.address().to_string();
     }
 
-    /// Returns whether it was not closed by either side.
+    /// Returns whether neither side has closed the connection.
     [[nodiscard]] auto isOpen() const -> bool { return this->socket.is_open(); }
 
 private:
     auto read() -> void;
-    auto take(HttpRequest request) -> void;
-    auto finish() -> void;
-    auto fail() -> void;
+    auto dispatch(HttpRequest request) -> void;
+    auto onAnswerWritten() -> void;
+    auto onReadFailed() -> void;
 
     Tcp::socket socket;
     std::shared_ptr<const Handler> handler;
     boost::beast::flat_buffer buffer;
     std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser;
-    std::optional<HttpRequest> pipelined; ///< Read before the one under way was answered.
-    std::function<void()> closed;
-    bool busy = false;
+    std::optional<HttpRequest> pipelined; ///< Received before the current request was answered.
+    std::function<void()> closeHandler;
+    bool answerPending = false;
     bool keepAlive = true;
 };
 
--- a/tests/standins/common/httpserver.h
+++ b/tests/standins/common/httpserver.h
@@ -1,4 +1,4 @@
-/// A listening socket whose connections speak HTTP/1.1.
+/// A minimal HTTP/1.1 server.
 #pragma once
 
 #include "standins/common/httpconnection.h"
@@ -10,12 +10,12 @@
 
 namespace standins {
 
-/// Hands each request of each connection to one handler.
+/// Accepts connections and passes the requests of all of them to one handler.
 /// @remarks Not thread safe.
 class HttpServer
 {
 public:
-    /// Listens on `address`. @throws boost::system::system_error where that fails.
+    /// Listens on `address`. @throws boost::system::system_error if that fails.
     HttpServer(asio::io_context &loop, const std::string &address, HttpConnection::Handler handler)
         : handler(std::make_shared<const HttpConnection::Handler>(std::move(handler))),
           listener(loop, address, [handler = this->handler](Tcp::socket socket) {
@@ -23,7 +23,7 @@
           })
     {}
 
-    /// Returns the bound address.
+    /// Returns the bound address as "IP:PORT".
     [[nodiscard]] auto address() const -> std::string { return this->listener.address(); }
 
 private:
--- a/tests/standins/common/listener.cpp
+++ b/tests/standins/common/listener.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-constexpr auto acceptPause = std::chrono::milliseconds(50); ///< After a failed accept.
+/// Time between a failed accept and its retry.
+constexpr auto acceptRetryDelay = std::chrono::milliseconds(50);
 
 } // namespace
 
 Listener::Listener(asio::io_context &loop, const std::string &address, Handler handler)
-    : acceptor(loop, parseEndpoint(address)), pause(loop), handler(std::move(handler))
+    : acceptor(loop, parseEndpoint(address)), retryTimer(loop), handler(std::move(handler))
 {
     this->accept();
 }
@@ -32,10 +33,10 @@
             return;
         }
         if (error) {
-            this->acceptLater(error);
+            this->acceptAfterDelay(error);
             return;
         }
-        this->failing = false;
+        this->lastAcceptFailed = false;
         ErrorCode ignored;
         socket.set_option(Tcp::no_delay(true), ignored);
         this->handler(std::move(socket));
@@ -43,13 +44,13 @@
     });
 }
 
-auto Listener::acceptLater(const ErrorCode &error) -> void
+auto Listener::acceptAfterDelay(const ErrorCode &error) -> void
 {
-    if (!std::exchange(this->failing, true)) {
+    if (!std::exchange(this->lastAcceptFailed, true)) {
         std::cerr << "accept: " << error.message() << std::endl;
     }
-    this->pause.expires_after(acceptPause);
-    this->pause.async_wait([this](ErrorCode failed) {
+    this->retryTimer.expires_after(acceptRetryDelay);
+    this->retryTimer.async_wait([this](ErrorCode failed) {
         if (!failed) {
             this->accept();
         }
--- a/tests/standins/common/listener.h
+++ b/tests/standins/common/listener.h
@@ -1,4 +1,4 @@
-/// A listening socket that hands on each connection.
+/// A listening TCP socket that passes each accepted connection to a handler.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -8,27 +8,27 @@
 
 namespace standins {
 
-/// Accepts connections until it is destroyed.
+/// Accepts connections until it is destroyed. A failed accept is retried after a delay.
 /// @remarks Not thread safe.
 class Listener
 {
 public:
     using Handler = std::function<void(Tcp::socket)>;
 
-    /// Listens on `address`. @throws boost::system::system_error where that fails.
+    /// Listens on `address`. @throws boost::system::system_error if that fails.
     Listener(asio::io_context &loop, const std::string &address, Handler handler);
 
-    /// Returns the bound address.
+    /// Returns the bound address as "IP:PORT".
     [[nodiscard]] auto address() const -> std::string;
 
 private:
     auto accept() -> void;
-    auto acceptLater(const ErrorCode &error) -> void;
+    auto acceptAfterDelay(const ErrorCode &error) -> void;
 
     Tcp::acceptor acceptor;
-    asio::steady_timer pause;
+    asio::steady_timer retryTimer;
     Handler handler;
-    bool failing = false; ///< The last accept failed; told once.
+    bool lastAcceptFailed = false; ///< Only the first of consecutive failures is printed.
 };
 
 } // namespace standins
--- a/tests/standins/common/program.h
+++ b/tests/standins/common/program.h
@@ -1,4 +1,5 @@
-/// The main function of a stand-in.
+/// The main function of the stand-ins: the processes that take the place of the product's
+/// environment in tests.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -10,11 +11,12 @@
 
 namespace standins {
 
-/// Runs a stand-in until its standard input ends.
+/// Runs a stand-in until the end of its standard input.
 ///
-/// `Program` is constructed from the loop, the control and the options, and its `ready()` returns
-/// the fields of the `ready` event.
-/// @returns the exit status.
+/// `Program` is constructed from the event loop, the control and the options, which are the JSON
+/// object in the first argument (an empty object if there is none). Its `ready()` returns the
+/// fields of the `ready` event.
+/// @returns the exit status; a failure is printed to standard error.
 template<typename Program>
 auto runProgram(int argc, char **argv) -> int
 {
--- a/tests/standins/common/wallclock.h
+++ b/tests/standins/common/wallclock.h
@@ -1,4 +1,4 @@
-/// The clock that all parties share.
+/// The wall clock that callers and upstreams share.
 #pragma once
 
 #include <chrono>
@@ -6,7 +6,7 @@
 
 namespace standins {
 
-/// Returns the milliseconds since 1970.
+/// Returns the milliseconds since the Unix epoch (1970).
 [[nodiscard]] inline auto wallMillis() -> std::int64_t
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
--- a/tests/standins/packets/hostcheck.h
+++ b/tests/standins/packets/hostcheck.h
@@ -1,4 +1,4 @@
-/// The fabric's readiness checks of one host.
+/// The readiness checks by which the network fabric decides whether one host gets packets.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -10,28 +10,29 @@
 
 namespace standins {
 
-/// Asks a host twice a second whether it is ready; two misses take it out of rotation.
+/// Checks twice a second whether a host is ready. One success puts it into rotation; two
+/// consecutive failures take it out.
 /// @remarks Not thread safe.
 class HostCheck
 {
 public:
-    HostCheck(asio::io_context &owner, const Tcp::endpoint &target, std::string path);
+    HostCheck(asio::io_context &ioContext, const Tcp::endpoint &target, std::string path);
 
-    /// Returns whether the host gets packets.
+    /// Returns whether the fabric sends packets to the host.
     [[nodiscard]] auto isInRotation() const -> bool { return this->inRotation; }
 
 private:
-    struct Call;
+    struct Check;
 
-    auto begin() -> void;
-    auto end(bool ready) -> void;
+    auto startCheck() -> void;
+    auto finishCheck(bool ready) -> void;
 
     asio::io_context &loop;
-    Tcp::endpoint host;
+    Tcp::endpoint hostEndpoint;
     std::string request;
     asio::steady_timer timer;
-    std::shared_ptr<Call> call;
-    std::uint32_t misses = 2;
+    std::shared_ptr<Check> activeCheck;
+    std::uint32_t consecutiveFailures = 2;
     bool inRotation = false;
 };
 
--- a/tests/standins/packets/main.cpp
+++ b/tests/standins/packets/main.cpp
@@ -1,4 +1,4 @@
-/// The stand-in of fabric, callers and upstreams of packet flows.
+/// The packets stand-in: the network fabric, the callers and the upstreams of packet flows.
 #include "standins/common/program.h"
 #include "standins/packets/packetsprogram.h"
 
--- a/tests/standins/packets/packetbytes.h
+++ b/tests/standins/packets/packetbytes.h
@@ -1,4 +1,5 @@
-/// The bytes of emulated packets, written apart from the product's codec so that they judge it.
+/// Encoding and decoding of emulated packets. Independent of the production codec, so that a fault
+/// there is detected and not cancelled out.
 #pragma once
 
 #include "emulator/flowpacket.h"
@@ -13,33 +14,34 @@
 
 using flamingograde::emulator::FlowPacket;
 
-/// Returns a caller's packet, from the caller to the service.
-[[nodiscard]] auto callerBytes(const FlowPacket &packet) -> std::vector<std::uint8_t>;
-/// Returns an upstream's packet, from the service to the caller.
-[[nodiscard]] auto upstreamBytes(const FlowPacket &packet) -> std::vector<std::uint8_t>;
+/// Returns the bytes of a packet that a caller sends to the service.
+[[nodiscard]] auto serializeFromCaller(const FlowPacket &packet) -> std::vector<std::uint8_t>;
+/// Returns the bytes of a packet that an upstream sends to the caller, with the service's address
+/// as the source.
+[[nodiscard]] auto serializeFromUpstream(const FlowPacket &packet) -> std::vector<std::uint8_t>;
 
-/// A packet that reached an upstream.
-struct IntendedPacket
+/// A packet received by an upstream.
+struct UpstreamPacket
 {
-    flamingograde::InstanceId instance; ///< Named before the packet.
+    flamingograde::InstanceId instance; ///< The intended receiver, from the host's prefix.
     FlowPacket packet;
-    bool intact = false; ///< Only the cookie differs from what the caller wrote.
+    bool intact = false; ///< The checksum matches: at most the cookie differs from what was sent.
 };
 
-/// Reads what a host sent to an upstream; nothing for bytes that are no packet.
-[[nodiscard]] auto readIntended(const std::vector<std::uint8_t> &bytes)
-        -> std::optional<IntendedPacket>;
+/// Parses a packet that a host sent to an upstream. @returns nothing if `bytes` are too short.
+[[nodiscard]] auto parseUpstreamPacket(const std::vector<std::uint8_t> &bytes)
+        -> std::optional<UpstreamPacket>;
 
-/// A packet that reached a caller.
-struct ReturnedPacket
+/// A packet received by a caller.
+struct CallerPacket
 {
     FlowPacket packet;
-    bool fromHost = false; ///< A reset without a sum: a host's own.
-    bool intact = false;   ///< As its sender wrote it.
+    bool fromHost = false; ///< A reset with checksum 0: made by a host, not by an upstream.
+    bool intact = false;   ///< The checksum matches, or the packet is a reset made by a host.
 };
 
-/// Reads what reached a caller; nothing for bytes that are no packet.
-[[nodiscard]] auto readReturned(const std::vector<std::uint8_t> &bytes)
-        -> std::optional<ReturnedPacket>;
+/// Parses a packet that reached a caller. @returns nothing if `bytes` are too short.
+[[nodiscard]] auto parseCallerPacket(const std::vector<std::uint8_t> &bytes)
+        -> std::optional<CallerPacket>;
 
 } // namespace standins
--- a/tests/standins/packets/packetsprogram.cpp
+++ b/tests/standins/packets/packetsprogram.cpp
@@ -16,22 +16,22 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds turnTime { 2 };
-constexpr std::uint32_t callersNet = 0x7f640001; ///< 127.100.0.1 and on.
+constexpr std::chrono::milliseconds clockInterval { 2 };
+constexpr std::uint32_t firstCallerIp = 0x7f640001; ///< 127.100.0.1; others follow upwards.
 
-auto udpEndpoint(const std::string &text) -> asio::ip::udp::endpoint
+auto parseUdpEndpoint(const std::string &text) -> asio::ip::udp::endpoint
 {
     const auto read = parseEndpoint(text);
     return { read.address(), read.port() };
 }
 
-auto addressOf(const std::string &text) -> Address
+auto parseAddress(const std::string &text) -> Address
 {
     const auto read = parseEndpoint(text);
     return { static_cast<std::uint32_t>(read.address().to_v4().to_uint()), read.port() };
 }
 
-auto hexBytes(const std::string &text) -> std::vector<std::uint8_t>
+auto decodeHex(const std::string &text) -> std::vector<std::uint8_t>
 {
     std::vector<std::uint8_t> bytes;
     for (std::size_t i = 0; i + 1 < text.size(); i += 2) {
@@ -40,11 +40,11 @@
     return bytes;
 }
 
-auto kindOf(const Json &command) -> std::unique_ptr<LoadKind>
+auto parseLoadKind(const Json &command) -> std::unique_ptr<LoadKind>
 {
     auto kind = std::make_unique<LoadKind>();
     kind->name = command.at("name").get<std::string>();
-    kind->address = addressOf(command.at("address").get<std::string>());
+    kind->address = parseAddress(command.at("address").get<std::string>());
     kind->idempotent = command.value("idempotent", true);
     kind->longFlows = command.value("long_flows", false);
     kind->requestBytes = command.value("request_bytes", kind->requestBytes);
@@ -57,21 +57,21 @@
 
 } // namespace
 
-PacketsProgram::PacketsProgram(asio::io_context &owner, Control &control, const Json &options)
-    : loop(owner), timer(owner), clockBegan(this->clock.now()),
-      callers(this->clock, callersNet, options.value("seed", std::uint64_t(1)),
+PacketsProgram::PacketsProgram(asio::io_context &ioContext, Control &control, const Json &options)
+    : loop(ioContext), timer(ioContext), clockStartedAt(this->clock.now()),
+      callers(this->clock, firstCallerIp, options.value("seed", std::uint64_t(1)),
               { [this](std::size_t caller, const FlowPacket &packet) {
-                   this->toFabric(caller, packet);
+                   this->sendToHost(caller, packet);
                },
                 [this](std::size_t caller, const RequestResult &result) {
                     this->judge.take(this->callers.zoneOf(caller), result);
                 },
                 [this](std::size_t caller, std::uint32_t ip) { this->addCaller(caller, ip); } }),
-      fabricSocket(owner, Udp::endpoint(asio::ip::address_v4(callersNet - 1), 0))
+      fabricSocket(ioContext, Udp::endpoint(asio::ip::address_v4(firstCallerIp - 1), 0))
 {
     this->callerPort = this->fabricSocket.local_endpoint().port();
     this->setHandlers(control);
-    this->turn();
+    this->advanceClock();
 }
 
 auto PacketsProgram::setHandlers(Control &control) -> void
@@ -93,7 +93,7 @@
     control.on("upstream", [this](const Json &command) { return this->addUpstream(command); });
     control.on("fail", [this](const Json &command) { return this->failUpstream(command); });
     control.on("drain", [this](const Json &command) { return this->drainUpstream(command); });
-    control.on("load", [this](const Json &command) { return this->beginLoad(command); });
+    control.on("load", [this](const Json &command) { return this->startLoad(command); });
     control.on("stop_load", [this](const Json & /*command*/) -> Json {
         this->callers.stop();
         return Json::object();
@@ -102,17 +102,17 @@
     control.on("report", [this](const Json & /*command*/) { return this->report(); });
 }
 
-auto PacketsProgram::turn() -> void
+auto PacketsProgram::advanceClock() -> void
 {
-    const auto real = std::chrono::duration_cast<Duration>(Clock::now() - this->began);
-    const Duration passed = this->clock.now() - this->clockBegan;
-    if (real > passed) {
-        this->clock.run(real - passed);
+    const auto realTime = std::chrono::duration_cast<Duration>(Clock::now() - this->startedAt);
+    const Duration virtualTime = this->clock.now() - this->clockStartedAt;
+    if (realTime > virtualTime) {
+        this->clock.run(realTime - virtualTime);
     }
-    this->timer.expires_after(turnTime);
+    this->timer.expires_after(clockInterval);
     this->timer.async_wait([this](ErrorCode error) {
         if (!error) {
-            this->turn();
+            this->advanceClock();
         }
     });
 }
@@ -121,7 +121,7 @@
 {
     auto &host = this->hosts[command.at("name").get<std::string>()];
     host.zone = command.at("zone").get<std::string>();
-    host.packets = udpEndpoint(command.at("packets").get<std::string>());
+    host.packetEndpoint = parseUdpEndpoint(command.at("packets").get<std::string>());
     host.check = std::make_unique<HostCheck>(this->loop,
                                              parseEndpoint(command.at("ready").get<std::string>()),
                                              command.value("path", "/-/readiness"));
@@ -132,28 +132,30 @@
 {
     const auto name = command.at("name").get<std::string>();
     auto &added = this->upstreams[name];
-    added.port = std::make_unique<Port>(this->loop);
+    added.receiver = std::make_unique<UdpReceiver>(this->loop);
     added.service = command.at("service").get<std::string>();
-    const auto listen = udpEndpoint(command.at("listen").get<std::string>());
-    added.port->socket.open(listen.protocol());
-    added.port->socket.bind(listen);
-    flamingograde::Upstream described;
-    described.instance = flamingograde::InstanceId(++this->lastInstance);
-    described.slots = command.value("slots", 2U);
-    described.name = name;
-    UpstreamSurroundings around;
-    around.toCaller = [this, name](const FlowPacket &packet) {
-        const auto bytes = upstreamBytes(packet);
+    const auto listen = parseUdpEndpoint(command.at("listen").get<std::string>());
+    added.receiver->socket.open(listen.protocol());
+    added.receiver->socket.bind(listen);
+    flamingograde::Upstream description;
+    description.instance = flamingograde::InstanceId(++this->lastInstance);
+    description.slots = command.value("slots", 2U);
+    description.name = name;
+    UpstreamSurroundings callbacks;
+    callbacks.toCaller = [this, name](const FlowPacket &packet) {
+        const auto bytes = serializeFromUpstream(packet);
         const Udp::endpoint to(asio::ip::address_v4(packet.head.caller.ip), this->callerPort);
         ErrorCode ignored;
-        this->upstreams.at(name).port->socket.send_to(asio::buffer(bytes), to, 0, ignored);
+        this->upstreams.at(name).receiver->socket.send_to(asio::buffer(bytes), to, 0, ignored);
     };
-    around.onRun = [this](std::uint64_t request) { this->judge.noteRun(request, false); };
-    around.onOpening = [this, name](const FlowPacket &packet) { this->noteOpening(name, packet); };
-    added.process = std::make_unique<EmulatedUpstream>(this->clock, described, std::move(around),
-                                                       this->lastInstance);
-    this->readUpstream(name);
-    const auto bound = added.port->socket.local_endpoint();
+    callbacks.onRun = [this](std::uint64_t request) { this->judge.noteRun(request, false); };
+    callbacks.onOpening = [this, name](const FlowPacket &packet) {
+        this->recordOpening(name, packet);
+    };
+    added.process = std::make_unique<EmulatedUpstream>(this->clock, description,
+                                                       std::move(callbacks), this->lastInstance);
+    this->receiveAtUpstream(name);
+    const auto bound = added.receiver->socket.local_endpoint();
     char id[32];
     std::snprintf(id, sizeof(id), "i-%08llx", static_cast<unsigned long long>(this->lastInstance));
     return { { "server", id },
@@ -172,20 +174,20 @@
 {
     auto &drained = this->upstreams.at(command.at("name").get<std::string>());
     drained.process->drain();
-    drained.leaving = true;
-    drained.leftAt = Clock::now();
+    drained.draining = true;
+    drained.drainingSince = Clock::now();
     return Json::object();
 }
 
-auto PacketsProgram::beginLoad(const Json &command) -> Json
+auto PacketsProgram::startLoad(const Json &command) -> Json
 {
     std::vector<const LoadKind *> mix;
-    for (const auto &described : command.at("kinds")) {
-        this->kinds.push_back(kindOf(described));
-        this->kinds.back()->share = described.value("share", 1.0);
-        mix.push_back(this->kinds.back().get());
-        this->serviceOf[described.at("address").get<std::string>()] =
-                described.at("service").get<std::string>();
+    for (const auto &description : command.at("kinds")) {
+        this->loadKinds.push_back(parseLoadKind(description));
+        this->loadKinds.back()->share = description.value("share", 1.0);
+        mix.push_back(this->loadKinds.back().get());
+        this->serviceByAddress[description.at("address").get<std::string>()] =
+                description.at("service").get<std::string>();
     }
     this->judge.begin(this->clock.now());
     for (const auto &[zone, rate] : command.at("zones").items()) {
@@ -196,20 +198,20 @@
 
 auto PacketsProgram::sendRaw(const Json &command) -> Json
 {
-    const auto bytes = hexBytes(command.at("hex").get<std::string>());
+    const auto bytes = decodeHex(command.at("hex").get<std::string>());
     for (const auto &[name, host] : this->hosts) {
-        this->fabricSocket.send_to(asio::buffer(bytes), host.packets);
+        this->fabricSocket.send_to(asio::buffer(bytes), host.packetEndpoint);
     }
     return Json::object();
 }
 
 auto PacketsProgram::addCaller(std::size_t caller, std::uint32_t ip) -> void
 {
-    auto &port = this->callerPorts[caller];
-    port = std::make_unique<Port>(this->loop);
-    port->socket.open(Udp::v4());
-    port->socket.bind({ asio::ip::address_v4(ip), this->callerPort });
-    this->readCaller(caller);
+    auto &receiver = this->callerReceivers[caller];
+    receiver = std::make_unique<UdpReceiver>(this->loop);
+    receiver->socket.open(Udp::v4());
+    receiver->socket.bind({ asio::ip::address_v4(ip), this->callerPort });
+    this->receiveAtCaller(caller);
 }
 
 auto PacketsProgram::chooseHost(const std::string &zone, const FlowPacket &packet) const
@@ -236,95 +238,96 @@
     return best;
 }
 
-auto PacketsProgram::toFabric(std::size_t caller, const FlowPacket &packet) -> void
+auto PacketsProgram::sendToHost(std::size_t caller, const FlowPacket &packet) -> void
 {
     const auto *host = this->chooseHost(this->callers.zoneOf(caller), packet);
     if (host == nullptr) {
         return;
     }
-    const auto bytes = callerBytes(packet);
+    const auto bytes = serializeFromCaller(packet);
     ErrorCode ignored;
-    this->callerPorts.at(caller)->socket.send_to(asio::buffer(bytes), host->packets, 0, ignored);
+    this->callerReceivers.at(caller)->socket.send_to(asio::buffer(bytes), host->packetEndpoint, 0,
+                                                     ignored);
 }
 
-auto PacketsProgram::readCaller(std::size_t caller) -> void
+auto PacketsProgram::receiveAtCaller(std::size_t caller) -> void
 {
-    auto &port = *this->callerPorts.at(caller);
-    port.socket.async_receive_from(asio::buffer(port.buffer), port.sender,
-                                   [this, caller](ErrorCode error, std::size_t size) {
-                                       if (error == asio::error::operation_aborted) {
-                                           return;
-                                       }
-                                       if (!error) {
-                                           this->takeAtCaller(caller, size);
-                                       }
-                                       this->readCaller(caller);
-                                   });
+    auto &receiver = *this->callerReceivers.at(caller);
+    receiver.socket.async_receive_from(asio::buffer(receiver.buffer), receiver.sender,
+                                       [this, caller](ErrorCode error, std::size_t size) {
+                                           if (error == asio::error::operation_aborted) {
+                                               return;
+                                           }
+                                           if (!error) {
+                                               this->handleCallerPacket(caller, size);
+                                           }
+                                           this->receiveAtCaller(caller);
+                                       });
 }
 
-auto PacketsProgram::takeAtCaller(std::size_t caller, std::size_t size) -> void
+auto PacketsProgram::handleCallerPacket(std::size_t caller, std::size_t size) -> void
 {
-    const auto &buffer = this->callerPorts.at(caller)->buffer;
-    const auto read = readReturned({ buffer.begin(), buffer.begin() + size });
+    const auto &buffer = this->callerReceivers.at(caller)->buffer;
+    const auto read = parseCallerPacket({ buffer.begin(), buffer.begin() + size });
     if (!read || !read->intact) {
-        ++this->notIntact;
+        ++this->damagedPackets;
         return;
     }
     auto *process = this->callers.find(read->packet.head.caller.ip);
-    const auto held = this->isHeld(read->packet);
-    if (process != nullptr && process->take(read->packet, read->fromHost) && held) {
+    const auto flowOpen = this->isFlowOpen(read->packet);
+    if (process != nullptr && process->take(read->packet, read->fromHost) && flowOpen) {
         ++this->judge.day.brokenFlows;
     }
 }
 
-auto PacketsProgram::readUpstream(const std::string &name) -> void
+auto PacketsProgram::receiveAtUpstream(const std::string &name) -> void
 {
-    auto &port = *this->upstreams.at(name).port;
-    port.socket.async_receive_from(asio::buffer(port.buffer), port.sender,
-                                   [this, name](ErrorCode error, std::size_t size) {
-                                       if (error == asio::error::operation_aborted) {
-                                           return;
-                                       }
-                                       if (!error) {
-                                           this->takeAtUpstream(name, size);
-                                       }
-                                       this->readUpstream(name);
-                                   });
+    auto &receiver = *this->upstreams.at(name).receiver;
+    receiver.socket.async_receive_from(asio::buffer(receiver.buffer), receiver.sender,
+                                       [this, name](ErrorCode error, std::size_t size) {
+                                           if (error == asio::error::operation_aborted) {
+                                               return;
+                                           }
+                                           if (!error) {
+                                               this->handleUpstreamPacket(name, size);
+                                           }
+                                           this->receiveAtUpstream(name);
+                                       });
 }
 
-auto PacketsProgram::takeAtUpstream(const std::string &name, std::size_t size) -> void
+auto PacketsProgram::handleUpstreamPacket(const std::string &name, std::size_t size) -> void
 {
     auto &upstream = this->upstreams.at(name);
-    const auto &buffer = upstream.port->buffer;
-    const auto read = readIntended({ buffer.begin(), buffer.begin() + size });
+    const auto &buffer = upstream.receiver->buffer;
+    const auto read = parseUpstreamPacket({ buffer.begin(), buffer.begin() + size });
     if (!read || !read->intact) {
-        ++this->notIntact;
+        ++this->damagedPackets;
         return;
     }
     const auto &head = read->packet.head;
-    const auto elsewhere = !head.flags.opens && this->isHeld(read->packet)
+    const auto misrouted = !head.flags.opens && this->isFlowOpen(read->packet)
                            && !upstream.process->holds(head.caller, head.service);
-    this->strays += elsewhere ? 1 : 0;
+    this->misroutedPackets += misrouted ? 1 : 0;
     upstream.process->take(read->instance, read->packet);
 }
 
-auto PacketsProgram::isHeld(const FlowPacket &packet) const -> bool
+auto PacketsProgram::isFlowOpen(const FlowPacket &packet) const -> bool
 {
     return std::any_of(this->upstreams.begin(), this->upstreams.end(), [&](const auto &entry) {
         return entry.second.process->holds(packet.head.caller, packet.head.service);
     });
 }
 
-auto PacketsProgram::noteOpening(const std::string &name, const FlowPacket &packet) -> void
+auto PacketsProgram::recordOpening(const std::string &name, const FlowPacket &packet) -> void
 {
     const auto &upstream = this->upstreams.at(name);
-    const auto row = this->serviceOf.find(packet.head.service.toString());
-    const auto isAllowed = row != this->serviceOf.end() && row->second == upstream.service;
+    const auto row = this->serviceByAddress.find(packet.head.service.toString());
+    const auto isAllowed = row != this->serviceByAddress.end() && row->second == upstream.service;
     this->judge.day.wrongService += isAllowed ? 0 : 1;
-    if (upstream.leaving) {
-        const auto late = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now()
-                                                                                - upstream.leftAt);
-        this->latestOpening = std::max(this->latestOpening, late);
+    if (upstream.draining) {
+        const auto late = std::chrono::duration_cast<std::chrono::milliseconds>(
+                Clock::now() - upstream.drainingSince);
+        this->latestOpeningAfterDrain = std::max(this->latestOpeningAfterDrain, late);
     }
 }
 
@@ -345,9 +348,9 @@
              { "broken_flows", day.brokenFlows },
              { "double_runs", day.doubleRuns },
              { "wrong_service", day.wrongService },
-             { "strays", this->strays },
-             { "not_intact", this->notIntact },
-             { "latest_opening_ms", this->latestOpening.count() },
+             { "strays", this->misroutedPackets },
+             { "not_intact", this->damagedPackets },
+             { "latest_opening_ms", this->latestOpeningAfterDrain.count() },
              { "runs", runs } };
 }
 
--- a/tests/standins/platform/main.cpp
+++ b/tests/standins/platform/main.cpp
@@ -1,4 +1,4 @@
-/// The platform stand-in: the configuration service and the host list.
+/// The platform stand-in: serves the table of the configuration service and the list of hosts.
 #include "standins/common/program.h"
 #include "standins/platform/platformprogram.h"
 
--- a/tests/standins/platform/platformmode.h
+++ b/tests/standins/platform/platformmode.h
@@ -1,16 +1,16 @@
-/// How the platform answers.
+/// Fault modes of the platform stand-in.
 #pragma once
 
 namespace standins {
 
-/// The modes that the command `mode` sets.
+/// How the platform answers; set by the command `mode`.
 enum class PlatformMode {
     Unknown,
     Up,
-    Down,    ///< Closes each connection.
-    Stale,   ///< Serves an earlier revision.
-    Slow,    ///< Answers late.
-    Garbage, ///< Answers with what is no table and no host list.
+    Down,    ///< Closes each connection without an answer.
+    Stale,   ///< Serves a given, earlier revision of the table.
+    Slow,    ///< Answers after a given delay.
+    Garbage, ///< Answers with bytes that are neither a table nor a host list.
 };
 
 } // namespace standins
--- a/tests/standins/platform/platformprogram.cpp
+++ b/tests/standins/platform/platformprogram.cpp
@@ -19,24 +19,25 @@
 
 namespace {
 
-constexpr auto watchMax = std::chrono::milliseconds(60000); ///< Longest wait of a watch.
+/// Longest time that a watch waits for a change.
+constexpr auto watchDurationMax = std::chrono::milliseconds(60000);
 
-const std::string garbage = "\x01\xff<html>[[row]] = {{{ not a table, not a host list";
+const std::string garbageBody = "\x01\xff<html>[[row]] = {{{ not a table, not a host list";
 
-/// Returns the number of the query parameter `name`, or 0.
+/// Returns the query parameter `name` as a number; 0 if it is missing or not a number.
 auto queryNumber(const std::string &target, const std::string &name) -> std::uint64_t
 {
     for (const char separator : { '?', '&' }) {
-        const std::string start = separator + name + "=";
-        const auto place = target.find(start);
-        if (place != std::string::npos) {
-            return std::strtoull(target.c_str() + place + start.size(), nullptr, 10);
+        const std::string prefix = separator + name + "=";
+        const auto position = target.find(prefix);
+        if (position != std::string::npos) {
+            return std::strtoull(target.c_str() + position + prefix.size(), nullptr, 10);
         }
     }
     return 0;
 }
 
-auto answerOf(unsigned status, std::string body) -> HttpAnswer
+auto makeAnswer(unsigned status, std::string body) -> HttpAnswer
 {
     HttpAnswer answer;
     answer.status = status;
@@ -44,7 +45,7 @@
     return answer;
 }
 
-/// Returns a time as HTTP writes it (RFC 9110).
+/// Returns `time` in the date format of HTTP (RFC 9110).
 auto httpDate(std::time_t time) -> std::string
 {
     std::array<char, sizeof("Sun, 06 Nov 1994 08:49:37 GMT")> text {};
@@ -57,7 +58,7 @@
 } // namespace
 
 PlatformProgram::PlatformProgram(asio::io_context &loop, Control &control, const Json &options)
-    : loop(loop), tellsPublished(options.value("last_modified", true)),
+    : loop(loop), sendsLastModified(options.value("last_modified", true)),
       server(loop, options.value("listen", "127.0.0.1:0"),
              [this](const Connection &connection, const HttpRequest &request) {
                  this->handle(connection, request);
@@ -79,7 +80,7 @@
     const std::uint64_t highest = this->history.empty() ? 0 : this->history.rbegin()->first;
     this->revision = highest + 1;
     this->history[this->revision] = { command.at("table").get<std::string>(), std::time(nullptr) };
-    this->answerWatches();
+    this->answerOutdatedWatches();
     return { { "revision", this->revision } };
 }
 
@@ -87,7 +88,7 @@
 {
     this->revision = command.at("revision").get<std::uint64_t>();
     this->history[this->revision] = { command.at("text").get<std::string>(), std::time(nullptr) };
-    this->answerWatches();
+    this->answerOutdatedWatches();
     return { { "revision", this->revision } };
 }
 
@@ -115,18 +116,18 @@
     }
     const auto revision = command.value("revision", std::uint64_t(0));
     if (mode == PlatformMode::Stale && this->history.count(revision) == 0) {
-        throw std::invalid_argument("stale needs a published revision");
+        throw std::invalid_argument("mode stale requires a published revision");
     }
     this->mode = mode;
     this->modeRevision = revision;
-    this->slowness = std::chrono::milliseconds(command.value("ms", std::int64_t(0)));
+    this->answerDelay = std::chrono::milliseconds(command.value("ms", std::int64_t(0)));
     if (mode == PlatformMode::Down) {
         for (const WatchPtr &watch : std::exchange(this->watches, {})) {
             watch->timer.cancel();
             watch->connection->close();
         }
     }
-    this->answerWatches();
+    this->answerOutdatedWatches();
     return Json::object();
 }
 
@@ -150,7 +151,7 @@
         this->route(connection, target);
         return;
     }
-    const auto timer = std::make_shared<asio::steady_timer>(this->loop, this->slowness);
+    const auto timer = std::make_shared<asio::steady_timer>(this->loop, this->answerDelay);
     timer->async_wait([this, timer, connection, target](ErrorCode error) {
         if (!error) {
             this->route(connection, target);
@@ -170,17 +171,18 @@
         connection->answer(this->hostsAnswer());
         return;
     }
-    connection->answer(answerOf(404, "no such call\n"));
+    connection->answer(makeAnswer(404, "no such path\n"));
 }
 
 auto PlatformProgram::readTable(const Connection &connection, const std::string &target) -> void
 {
     const std::uint64_t after = queryNumber(target, "after");
-    const auto wait = std::min(watchMax, std::chrono::milliseconds(static_cast<std::int64_t>(
-                                                 queryNumber(target, "wait"))));
+    const auto wait = std::min(
+            watchDurationMax,
+            std::chrono::milliseconds(static_cast<std::int64_t>(queryNumber(target, "wait"))));
     ++(wait.count() > 0 ? this->watchReads : this->tableReads);
-    const bool waits = this->mode != PlatformMode::Garbage && after == this->servedRevision();
-    if (waits && wait.count() > 0) {
+    const bool isCurrent = this->mode != PlatformMode::Garbage && after == this->servedRevision();
+    if (isCurrent && wait.count() > 0) {
         this->watchTable(connection, after, wait);
         return;
     }
@@ -199,26 +201,26 @@
     watch->timer.expires_after(wait);
     watch->timer.async_wait([this, watch](ErrorCode error) {
         if (!error) {
-            this->endWatch(watch);
+            this->answerWatch(watch);
         }
     });
 }
 
-auto PlatformProgram::endWatch(const WatchPtr &watch) -> void
+auto PlatformProgram::answerWatch(const WatchPtr &watch) -> void
 {
     if (this->watches.erase(watch) > 0) {
         watch->connection->answer(this->tableAnswer(watch->after));
     }
 }
 
-/// Answers the watches for which there is another table now.
-auto PlatformProgram::answerWatches() -> void
+/// Answers the watches whose revision is no longer the served one; all of them in `Garbage` mode.
+auto PlatformProgram::answerOutdatedWatches() -> void
 {
     const auto waiting = this->watches;
     for (const WatchPtr &watch : waiting) {
         if (this->mode == PlatformMode::Garbage || watch->after != this->servedRevision()) {
             watch->timer.cancel();
-            this->endWatch(watch);
+            this->answerWatch(watch);
         }
     }
 }
@@ -230,7 +232,7 @@
     }
     const std::uint64_t served = this->servedRevision();
     if (served == 0 && after != 0) {
-        return answerOf(404, "no table yet\n");
+        return makeAnswer(404, "no table has been published yet\n");
     }
     HttpAnswer answer;
     answer.headers = { { "Revision", std::to_string(served) } };
@@ -240,8 +242,8 @@
     }
     answer.headers.emplace_back("Content-Type", "application/toml");
     const auto &published = this->history.at(served);
-    if (this->tellsPublished) {
-        answer.headers.emplace_back("Last-Modified", httpDate(published.at));
+    if (this->sendsLastModified) {
+        answer.headers.emplace_back("Last-Modified", httpDate(published.publishedAt));
     }
     answer.body = published.text;
     return answer;
@@ -249,9 +251,9 @@
 
 auto PlatformProgram::garbageAnswer() const -> HttpAnswer
 {
-    HttpAnswer answer = answerOf(200, garbage);
-    const bool claims = this->modeRevision > 0;
-    answer.headers = { { "Revision", claims ? std::to_string(this->modeRevision) : "x" } };
+    HttpAnswer answer = makeAnswer(200, garbageBody);
+    const bool hasRevision = this->modeRevision > 0;
+    answer.headers = { { "Revision", hasRevision ? std::to_string(this->modeRevision) : "x" } };
     return answer;
 }
 
@@ -260,7 +262,7 @@
     if (this->mode == PlatformMode::Garbage) {
         return this->garbageAnswer();
     }
-    HttpAnswer answer = answerOf(200, Json({ { "hosts", this->hosts } }).dump());
+    HttpAnswer answer = makeAnswer(200, Json({ { "hosts", this->hosts } }).dump());
     answer.headers = { { "Content-Type", "application/json" } };
     return answer;
 }
--- a/tests/standins/platform/platformprogram.h
+++ b/tests/standins/platform/platformprogram.h
@@ -1,4 +1,5 @@
-/// The platform's configuration service and host list.
+/// The HTTP server of the platform stand-in: the table of the configuration service and the list of
+/// hosts.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -18,7 +19,7 @@
 
 class Control;
 
-/// Serves the platform's calls and carries out the control protocol's commands.
+/// Serves the HTTP calls to the platform and executes the commands of the control protocol.
 /// @remarks Not thread safe.
 class PlatformProgram
 {
@@ -43,29 +44,31 @@
     auto readTable(const Connection &connection, const std::string &target) -> void;
     auto watchTable(const Connection &connection, std::uint64_t after,
                     std::chrono::milliseconds wait) -> void;
-    auto endWatch(const WatchPtr &watch) -> void;
-    auto answerWatches() -> void;
+    auto answerWatch(const WatchPtr &watch) -> void;
+    auto answerOutdatedWatches() -> void;
     [[nodiscard]] auto tableAnswer(std::uint64_t after) const -> HttpAnswer;
     [[nodiscard]] auto garbageAnswer() const -> HttpAnswer;
     [[nodiscard]] auto hostsAnswer() const -> HttpAnswer;
     [[nodiscard]] auto servedRevision() const -> std::uint64_t;
 
     asio::io_context &loop;
-    /// A table and when it was published.
-    struct Published
+    /// A table and its time of publication.
+    struct PublishedTable
     {
         std::string text;
-        std::time_t at = 0;
+        std::time_t publishedAt = 0;
     };
 
-    std::map<std::uint64_t, Published> history; ///< Every table by its revision.
-    std::uint64_t revision = 0;                 ///< The one in force; 0: none yet.
+    std::map<std::uint64_t, PublishedTable> history; ///< All published tables by revision.
+    std::uint64_t revision = 0; ///< The current revision; 0: no table published.
     Json hosts = Json::array();
     std::chrono::milliseconds hostsLag { 0 };
     PlatformMode mode = PlatformMode::Up;
-    std::chrono::milliseconds slowness { 0 };
-    bool tellsPublished = true;     ///< Whether `Last-Modified` is sent.
-    std::uint64_t modeRevision = 0; ///< Served by `Stale`, claimed by `Garbage`.
+    std::chrono::milliseconds answerDelay { 0 };
+    bool sendsLastModified = true; ///< Whether tables are served with `Last-Modified`.
+    /// In mode `Stale`: the revision that is served. In mode `Garbage`: the revision in the header,
+    /// or 0 for a header that is not a number.
+    std::uint64_t modeRevision = 0;
     std::uint64_t calls = 0;
     std::uint64_t tableReads = 0;
     std::uint64_t watchReads = 0;
--- a/tests/standins/platform/watch.h
+++ b/tests/standins/platform/watch.h
@@ -1,4 +1,4 @@
-/// A call that waits for a newer table.
+/// A pending call that waits for another revision of the table (long poll).
 #pragma once
 
 #include "standins/common/httpconnection.h"
@@ -7,7 +7,7 @@
 
 namespace standins {
 
-/// A waiting call.
+/// A pending call and the timer that ends its wait.
 struct Watch
 {
     Watch(asio::io_context &loop, HttpConnection::Ptr connection, std::uint64_t after)
@@ -15,7 +15,7 @@
     {}
 
     HttpConnection::Ptr connection;
-    std::uint64_t after; ///< The revision that the reader has.
+    std::uint64_t after; ///< The revision that the reader already has.
     asio::steady_timer timer;
 };
 
--- a/tests/standins/proxy/conditions.h
+++ b/tests/standins/proxy/conditions.h
@@ -1,17 +1,17 @@
-/// What faults do to one proxied connection.
+/// The network conditions of one proxied connection.
 #pragma once
 
 #include <chrono>
 
 namespace standins {
 
-/// The joint effect of all faults that match a connection.
+/// The combined effect of all active faults that match a connection.
 struct Conditions
 {
-    bool cut = false;                     ///< New connections are reset.
-    bool silent = false;                  ///< Nothing passes until the heal.
-    std::chrono::nanoseconds delay { 0 }; ///< Each way.
-    double bytesPerSecond = 0;            ///< Each way; 0: no limit.
+    bool cut = false;                     ///< Open and new connections are reset.
+    bool silent = false;                  ///< Nothing is forwarded until the fault is healed.
+    std::chrono::nanoseconds delay { 0 }; ///< Added in each direction.
+    double bytesPerSecond = 0;            ///< Limit in each direction; 0: no limit.
 };
 
 } // namespace standins
--- a/tests/standins/proxy/fault.cpp
+++ b/tests/standins/proxy/fault.cpp
@@ -18,7 +18,7 @@
     Fault fault;
     fault.kind = json.at("kind").get<FaultKind>();
     if (fault.kind == FaultKind::Unknown) {
-        throw std::invalid_argument("unknown kind of fault");
+        throw std::invalid_argument("unknown fault kind");
     }
     fault.from = json.value("from", any);
     fault.to = json.value("to", any);
@@ -28,7 +28,7 @@
             std::chrono::duration<double, std::milli>(json.value("ms", 0.0)));
     fault.bytesPerSecond = json.value("bytes_per_s", 0.0);
     if (fault.kind == FaultKind::Slow && fault.bytesPerSecond <= 0) {
-        throw std::invalid_argument("slow needs bytes_per_s");
+        throw std::invalid_argument("fault kind slow requires bytes_per_s greater than 0");
     }
     return fault;
 }
--- a/tests/standins/proxy/fault.h
+++ b/tests/standins/proxy/fault.h
@@ -1,4 +1,4 @@
-/// One injected fault.
+/// A fault injected into the connections of the proxy.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -9,29 +9,29 @@
 
 namespace standins {
 
-/// What a fault does.
+/// The effect of a fault.
 enum class FaultKind {
     Unknown,
-    Cut,         ///< Resets what is open, refuses what is new.
-    Silence,     ///< Nothing passes until the heal.
-    SilenceOpen, ///< What is open goes silent for good.
-    Delay,       ///< Each way.
-    Lose,        ///< Resets what is open, once.
-    Slow,        ///< Limits the bytes a second, each way.
+    Cut,         ///< Resets open connections and refuses new ones.
+    Silence,     ///< Forwards nothing until the fault is healed.
+    SilenceOpen, ///< Drops all data of open connections, also after the heal.
+    Delay,       ///< Delays data in each direction.
+    Lose,        ///< Resets the open connections once.
+    Slow,        ///< Limits the bytes per second in each direction.
 };
 
-/// A fault and the connections that it is for: empty lists match any.
+/// A fault and the connections that it applies to. An empty list matches all connections.
 struct Fault
 {
     FaultKind kind = FaultKind::Unknown;
-    std::vector<std::string> from; ///< Sides of the source of the connection.
-    std::vector<std::string> to;   ///< Sides of its target.
+    std::vector<std::string> from; ///< Sides that the source of the connection is on (see `Sides`).
+    std::vector<std::string> to;   ///< Sides that its target is on.
     std::vector<std::string> links;
-    bool bothWays = false; ///< Also for connections from `to` to `from`.
+    bool bothWays = false; ///< Also applies to connections from `to` to `from`.
     std::chrono::nanoseconds delay { 0 };
     double bytesPerSecond = 0;
 
-    /// Reads the fields of the command `fault`. @throws std::exception on a wrong one.
+    /// Parses the fields of the command `fault`. @throws std::exception for an invalid field.
     [[nodiscard]] static auto fromJson(const Json &json) -> Fault;
 };
 
--- a/tests/standins/proxy/faultset.cpp
+++ b/tests/standins/proxy/faultset.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-auto slower(double one, double other) -> double
+auto lowerLimit(double one, double other) -> double
 {
     return one <= 0 ? other : std::min(one, other);
 }
@@ -28,7 +28,7 @@
         conditions.delay += fault.delay;
         break;
     case FaultKind::Slow:
-        conditions.bytesPerSecond = slower(conditions.bytesPerSecond, fault.bytesPerSecond);
+        conditions.bytesPerSecond = lowerLimit(conditions.bytesPerSecond, fault.bytesPerSecond);
         break;
     case FaultKind::Unknown:
     case FaultKind::SilenceOpen:
@@ -49,7 +49,7 @@
 auto FaultSet::heal(std::uint64_t number) -> void
 {
     if (this->faults.erase(number) == 0) {
-        throw std::invalid_argument("no fault " + std::to_string(number));
+        throw std::invalid_argument("no active fault has the number " + std::to_string(number));
     }
 }
 
--- a/tests/standins/proxy/faultset.h
+++ b/tests/standins/proxy/faultset.h
@@ -1,4 +1,4 @@
-/// The faults in force.
+/// The active faults.
 #pragma once
 
 #include "standins/proxy/conditions.h"
@@ -13,8 +13,8 @@
 class Sides;
 struct Route;
 
-/// Numbers faults and tells their joint effect.
-/// @remarks Not thread safe. `sides` outlives it.
+/// Holds the active faults by number and computes their combined effect on a connection.
+/// @remarks Not thread safe. `sides` must outlive it.
 class FaultSet
 {
 public:
@@ -26,9 +26,9 @@
     auto heal(std::uint64_t number) -> void;
     /// Removes all faults.
     auto healAll() -> void { this->faults.clear(); }
-    /// Returns whether `fault` is for connections of `route`.
+    /// Returns whether `fault` applies to connections of `route`.
     [[nodiscard]] auto matches(const Fault &fault, const Route &route) const -> bool;
-    /// Returns the joint effect on connections of `route`.
+    /// Returns the combined effect of all faults on connections of `route`.
     [[nodiscard]] auto conditionsOf(const Route &route) const -> Conditions;
 
 private:
--- a/tests/standins/proxy/link.h
+++ b/tests/standins/proxy/link.h
@@ -1,4 +1,4 @@
-/// A listening address and where its connections go.
+/// A listening address of the proxy and the targets of its connections.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -12,11 +12,11 @@
 
 class Listener;
 
-/// One link of the proxy.
+/// A named listener of the proxy, its targets and its traffic counters.
 struct Link
 {
     std::string name;
-    std::vector<Tcp::endpoint> targets; ///< Each connection goes to a random one.
+    std::vector<Tcp::endpoint> targets; ///< Each connection goes to one of them at random.
     Traffic traffic;
     std::unique_ptr<Listener> listener;
 
--- a/tests/standins/proxy/main.cpp
+++ b/tests/standins/proxy/main.cpp
@@ -1,4 +1,4 @@
-/// The proxy stand-in: the fabric, and the place where faults are injected.
+/// The proxy stand-in: forwards TCP connections like the network fabric and injects network faults.
 #include "standins/common/program.h"
 #include "standins/proxy/proxyprogram.h"
 
--- a/tests/standins/proxy/pipe.h
+++ b/tests/standins/proxy/pipe.h
@@ -11,12 +11,12 @@
 
 namespace standins {
 
-/// Bytes on their way from one end to the other.
+/// The queue of bytes from one end of a connection to the other.
 struct Pipe
 {
     using Time = std::chrono::steady_clock::time_point;
 
-    /// Bytes that wait, or the end of the stream.
+    /// Queued bytes, or the end of the stream.
     struct Item
     {
         Time due;
@@ -25,14 +25,14 @@
 
     std::deque<Item> items;
     std::size_t queuedBytes = 0;
-    std::unique_ptr<asio::steady_timer> timer; ///< For the first item; made when needed.
-    bool timing = false;
-    bool reading = false; ///< Waits for the source end to be readable.
-    bool writing = false; ///< Waits for the target end to be writable.
-    bool ended = false;   ///< The source end has sent its last byte.
-    bool endPassed = false;
-    double allowance = 0; ///< Bytes that may pass now under a limit.
-    Time allowanceAt;     ///< When `allowance` was last raised.
+    std::unique_ptr<asio::steady_timer> timer; ///< Delays the next write; created on first use.
+    bool timerPending = false;
+    bool readPending = false;  ///< Waiting until the source end is readable.
+    bool writePending = false; ///< Waiting until the target end is writable.
+    bool eofReceived = false;  ///< The source end has closed its sending direction.
+    bool eofForwarded = false;
+    double tokens = 0;     ///< Token bucket of the rate limit, in bytes.
+    Time tokensRefilledAt; ///< When `tokens` was last refilled.
 };
 
 } // namespace standins
--- a/tests/standins/proxy/proxyconnection.cpp
+++ b/tests/standins/proxy/proxyconnection.cpp
@@ -12,9 +12,10 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t readMax = 65536;                      ///< Bytes of one read.
-constexpr std::size_t queueMax = 1U << 20U;                 ///< Bytes queued before reading stops.
-constexpr auto limitPeriod = std::chrono::milliseconds(10); ///< Between writes under a limit.
+constexpr std::size_t readSizeMax = 65536;        ///< Largest read, in bytes.
+constexpr std::size_t queuedBytesMax = 1U << 20U; ///< Queued bytes at which reading stops.
+/// Time between writes under a rate limit.
+constexpr auto rateLimitInterval = std::chrono::milliseconds(10);
 
 auto isTransient(const ErrorCode &error) -> bool
 {
@@ -27,14 +28,14 @@
 ProxyConnection::ProxyConnection(Tcp::socket accepted, Tcp::endpoint target, Route route,
                                  Context context)
     : sockets { Tcp::socket(accepted.get_executor()), Tcp::socket(accepted.get_executor()) },
-      target(std::move(target)), ends(std::move(route)), context(std::move(context))
+      target(std::move(target)), endpoints(std::move(route)), context(std::move(context))
 {
     this->sockets[Accepted] = std::move(accepted);
 }
 
 auto ProxyConnection::start(const Conditions &conditions) -> void
 {
-    for (Traffic *traffic : { &this->context.link, &this->context.pair }) {
+    for (Traffic *traffic : { &this->context.linkTraffic, &this->context.pairTraffic }) {
         ++traffic->connections;
         ++traffic->open;
     }
@@ -56,12 +57,12 @@
     this->resume();
 }
 
-auto ProxyConnection::lose() -> void
+auto ProxyConnection::blackhole() -> void
 {
     if (!this->connected) {
         return;
     }
-    this->lost = true;
+    this->blackholed = true;
     for (const End end : { Accepted, Target }) {
         this->pipes[end].items.clear();
         this->read(end);
@@ -73,8 +74,8 @@
     if (this->finished) {
         return;
     }
-    ++this->context.link.reset;
-    ++this->context.pair.reset;
+    ++this->context.linkTraffic.reset;
+    ++this->context.pairTraffic.reset;
     for (Tcp::socket &socket : this->sockets) {
         resetSocket(socket);
     }
@@ -83,8 +84,8 @@
 
 auto ProxyConnection::refuse() -> void
 {
-    ++this->context.link.refused;
-    ++this->context.pair.refused;
+    ++this->context.linkTraffic.refused;
+    ++this->context.pairTraffic.refused;
     for (Tcp::socket &socket : this->sockets) {
         resetSocket(socket);
     }
@@ -96,8 +97,8 @@
     this->connecting = true;
     ErrorCode error;
     Tcp::socket &socket = this->sockets[Target];
-    // The target sees the source's IP number, as behind a fabric.
-    bindSource(socket, this->ends.source, error);
+    // The target sees the IP address of the source, as it does behind the network fabric.
+    bindSource(socket, this->endpoints.source, error);
     if (error) {
         this->refuse();
         return;
@@ -140,13 +141,14 @@
 auto ProxyConnection::read(End end) -> void
 {
     Pipe &pipe = this->pipes[end];
-    if (this->finished || pipe.reading || pipe.ended || pipe.queuedBytes >= queueMax) {
+    if (this->finished || pipe.readPending || pipe.eofReceived
+        || pipe.queuedBytes >= queuedBytesMax) {
         return;
     }
-    pipe.reading = true;
+    pipe.readPending = true;
     this->sockets[end].async_wait(Tcp::socket::wait_read,
                                   [self = this->shared_from_this(), end](ErrorCode error) {
-                                      self->pipes[end].reading = false;
+                                      self->pipes[end].readPending = false;
                                       if (!error && !self->finished) {
                                           self->readNow(end);
                                       }
@@ -155,32 +157,32 @@
 
 auto ProxyConnection::readNow(End end) -> void
 {
-    if (this->conditions.silent && !this->lost) {
+    if (this->conditions.silent && !this->blackholed) {
         return;
     }
-    static std::array<char, readMax> bytes;
+    static std::array<char, readSizeMax> bytes;
     ErrorCode error;
     const std::size_t size = this->sockets[end].read_some(asio::buffer(bytes), error);
     if (error && !isTransient(error)) {
-        if (this->lost) {
-            this->takeEndWhenLost(end);
+        if (this->blackholed) {
+            this->closeWhenBlackholed(end);
         } else if (error == asio::error::eof) {
-            this->takeEnd(end);
+            this->queueEof(end);
         } else {
             this->reset();
         }
         return;
     }
-    if (!error && !this->lost) {
-        this->takeBytes(end, std::string(bytes.data(), size));
+    if (!error && !this->blackholed) {
+        this->queueBytes(end, std::string(bytes.data(), size));
     }
     this->read(end);
 }
 
-auto ProxyConnection::takeBytes(End end, std::string bytes) -> void
+auto ProxyConnection::queueBytes(End end, std::string bytes) -> void
 {
     Pipe &pipe = this->pipes[end];
-    for (Traffic *traffic : { &this->context.link, &this->context.pair }) {
+    for (Traffic *traffic : { &this->context.linkTraffic, &this->context.pairTraffic }) {
         (end == Accepted ? traffic->bytesTo : traffic->bytesFrom) += bytes.size();
     }
     pipe.queuedBytes += bytes.size();
@@ -188,18 +190,18 @@
     this->flush(end);
 }
 
-auto ProxyConnection::takeEnd(End end) -> void
+auto ProxyConnection::queueEof(End end) -> void
 {
     Pipe &pipe = this->pipes[end];
-    pipe.ended = true;
+    pipe.eofReceived = true;
     pipe.items.push_back({ Clock::now() + this->conditions.delay, {} });
     this->flush(end);
 }
 
-auto ProxyConnection::takeEndWhenLost(End end) -> void
+auto ProxyConnection::closeWhenBlackholed(End end) -> void
 {
     ErrorCode ignored;
-    this->pipes[end].ended = true;
+    this->pipes[end].eofReceived = true;
     this->sockets[end].close(ignored);
     if (!this->sockets[other(end)].is_open()) {
         this->finish();
@@ -209,15 +211,15 @@
 auto ProxyConnection::flush(End end) -> void
 {
     Pipe &pipe = this->pipes[end];
-    while (!this->finished && !this->lost && !this->conditions.silent && !pipe.writing
-           && !pipe.timing && !pipe.items.empty()) {
+    while (!this->finished && !this->blackholed && !this->conditions.silent && !pipe.writePending
+           && !pipe.timerPending && !pipe.items.empty()) {
         const Pipe::Item &first = pipe.items.front();
         if (first.due > Clock::now()) {
             this->waitUntil(end, first.due);
             return;
         }
         if (first.bytes.empty()) {
-            this->passEnd(end);
+            this->forwardEof(end);
             return;
         }
         if (!this->writeFirst(end)) {
@@ -226,15 +228,15 @@
     }
 }
 
-/// Writes of the first item what may be written now.
-/// @returns whether the whole item went.
+/// Writes as much of the first item as the rate limit and the socket accept.
+/// @returns whether the whole item was written.
 auto ProxyConnection::writeFirst(End end) -> bool
 {
     Pipe &pipe = this->pipes[end];
     std::string &bytes = pipe.items.front().bytes;
-    const std::size_t size = std::min(bytes.size(), this->allowed(pipe));
+    const std::size_t size = std::min(bytes.size(), this->refillTokens(pipe));
     if (size == 0) {
-        this->waitUntil(end, Clock::now() + limitPeriod);
+        this->waitUntil(end, Clock::now() + rateLimitInterval);
         return false;
     }
     ErrorCode error;
@@ -245,7 +247,7 @@
         return false;
     }
     pipe.queuedBytes -= written;
-    pipe.allowance -= static_cast<double>(written);
+    pipe.tokens -= static_cast<double>(written);
     if (written == bytes.size()) {
         pipe.items.pop_front();
         this->read(end);
@@ -255,19 +257,19 @@
     if (written < size) {
         this->waitWritable(end);
     } else {
-        this->waitUntil(end, Clock::now() + limitPeriod);
+        this->waitUntil(end, Clock::now() + rateLimitInterval);
     }
     return false;
 }
 
-auto ProxyConnection::passEnd(End end) -> void
+auto ProxyConnection::forwardEof(End end) -> void
 {
     Pipe &pipe = this->pipes[end];
     ErrorCode ignored;
     this->sockets[other(end)].shutdown(Tcp::socket::shutdown_send, ignored);
     pipe.items.clear();
-    pipe.endPassed = true;
-    if (this->pipes[other(end)].endPassed) {
+    pipe.eofForwarded = true;
+    if (this->pipes[other(end)].eofForwarded) {
         for (Tcp::socket &socket : this->sockets) {
             socket.close(ignored);
         }
@@ -281,40 +283,41 @@
     if (!pipe.timer) {
         pipe.timer = std::make_unique<asio::steady_timer>(this->sockets[end].get_executor());
     }
-    pipe.timing = true;
+    pipe.timerPending = true;
     pipe.timer->expires_at(time);
     pipe.timer->async_wait([self = this->shared_from_this(), end](ErrorCode) {
-        self->pipes[end].timing = false;
+        self->pipes[end].timerPending = false;
         self->flush(end);
     });
 }
 
 auto ProxyConnection::waitWritable(End end) -> void
 {
-    this->pipes[end].writing = true;
+    this->pipes[end].writePending = true;
     this->sockets[other(end)].async_wait(Tcp::socket::wait_write,
                                          [self = this->shared_from_this(), end](ErrorCode error) {
-                                             self->pipes[end].writing = false;
+                                             self->pipes[end].writePending = false;
                                              if (!error) {
                                                  self->flush(end);
                                              }
                                          });
 }
 
-/// Returns how many bytes the limit lets pass now.
-auto ProxyConnection::allowed(Pipe &pipe) -> std::size_t
+/// Refills the token bucket of `pipe`.
+/// @returns how many bytes the rate limit allows to be written now.
+auto ProxyConnection::refillTokens(Pipe &pipe) -> std::size_t
 {
     const double rate = this->conditions.bytesPerSecond;
     if (rate <= 0) {
-        return readMax;
+        return readSizeMax;
     }
     const auto now = Clock::now();
-    const std::chrono::duration<double> passed = now - pipe.allowanceAt;
-    const std::chrono::duration<double> burst = 2 * limitPeriod;
-    const double most = std::max(1.0, rate * burst.count());
-    pipe.allowance = std::min(most, std::max(0.0, pipe.allowance) + rate * passed.count());
-    pipe.allowanceAt = now;
-    return static_cast<std::size_t>(pipe.allowance);
+    const std::chrono::duration<double> passed = now - pipe.tokensRefilledAt;
+    const std::chrono::duration<double> burstTime = 2 * rateLimitInterval;
+    const double burstBytes = std::max(1.0, rate * burstTime.count());
+    pipe.tokens = std::min(burstBytes, std::max(0.0, pipe.tokens) + rate * passed.count());
+    pipe.tokensRefilledAt = now;
+    return static_cast<std::size_t>(pipe.tokens);
 }
 
 auto ProxyConnection::finish() -> void
@@ -323,14 +326,14 @@
         return;
     }
     this->finished = true;
-    --this->context.link.open;
-    --this->context.pair.open;
+    --this->context.linkTraffic.open;
+    --this->context.pairTraffic.open;
     for (Pipe &pipe : this->pipes) {
         if (pipe.timer) {
             pipe.timer->cancel();
         }
     }
-    this->context.done(this->shared_from_this());
+    this->context.onFinished(this->shared_from_this());
 }
 
 } // namespace standins
--- a/tests/standins/proxy/proxyconnection.h
+++ b/tests/standins/proxy/proxyconnection.h
@@ -1,4 +1,4 @@
-/// One connection through the proxy.
+/// A connection that is forwarded by the proxy.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -15,37 +15,41 @@
 
 struct Traffic;
 
-/// Joins an accepted connection with one to its target, under the conditions of the faults.
-/// @remarks Not thread safe. Kept alive by its owner until `done` was called, and by what is
-/// pending. The counters outlive it.
+/// Forwards bytes between an accepted connection and one to its target, under the conditions that
+/// the active faults set.
+/// @remarks Not thread safe. Kept alive by its owner until `onFinished` is called, and by its
+/// pending operations. The traffic counters must outlive it.
 class ProxyConnection : public std::enable_shared_from_this<ProxyConnection>
 {
 public:
     using Ptr = std::shared_ptr<ProxyConnection>;
-    using Done = std::function<void(const Ptr &)>;
+    using FinishedHandler = std::function<void(const Ptr &)>;
 
-    /// What every connection of a proxy shares.
+    /// The counters that a connection updates and the callback to its owner.
     struct Context
     {
-        Traffic &link;
-        Traffic &pair;
-        Done done; ///< Called once, when both ends are closed.
+        Traffic &linkTraffic;
+        Traffic &pairTraffic;
+        FinishedHandler onFinished; ///< Called once, when both ends are closed.
     };
 
     ProxyConnection(Tcp::socket accepted, Tcp::endpoint target, Route route, Context context);
 
-    /// Connects and joins, unless `conditions` are against it.
+    /// Connects to the target and starts forwarding. Refuses the connection if `conditions` cut it;
+    /// waits if they silence it.
     auto start(const Conditions &conditions) -> void;
-    /// Changes the conditions; bytes that waited pass on when they allow it.
+    /// Changes the conditions. A cut resets the connection; queued bytes are forwarded as soon as
+    /// the conditions allow it.
     auto setConditions(const Conditions &conditions) -> void;
-    /// Goes silent for good: what comes is dropped, also the end of either side.
-    auto lose() -> void;
-    /// Resets both ends.
+    /// Drops all data from now on and doesn't forward the close of either end. Has no effect before
+    /// the connection to the target is established.
+    auto blackhole() -> void;
+    /// Closes both ends with a TCP reset.
     auto reset() -> void;
-    [[nodiscard]] auto route() const -> const Route & { return this->ends; }
+    [[nodiscard]] auto route() const -> const Route & { return this->endpoints; }
 
 private:
-    /// Index of an end, and of the pipe that starts there.
+    /// Index of an end of the connection, and of the pipe that reads from it.
     enum End : std::size_t {
         Accepted,
         Target
@@ -57,26 +61,26 @@
     auto resume() -> void;
     auto read(End end) -> void;
     auto readNow(End end) -> void;
-    auto takeBytes(End end, std::string bytes) -> void;
-    auto takeEnd(End end) -> void;
-    auto takeEndWhenLost(End end) -> void;
+    auto queueBytes(End end, std::string bytes) -> void;
+    auto queueEof(End end) -> void;
+    auto closeWhenBlackholed(End end) -> void;
     auto flush(End end) -> void;
     auto writeFirst(End end) -> bool;
-    auto passEnd(End end) -> void;
+    auto forwardEof(End end) -> void;
     auto waitUntil(End end, Pipe::Time time) -> void;
     auto waitWritable(End end) -> void;
-    auto allowed(Pipe &pipe) -> std::size_t;
+    auto refillTokens(Pipe &pipe) -> std::size_t;
     auto finish() -> void;
 
     std::array<Tcp::socket, 2> sockets;
     std::array<Pipe, 2> pipes;
     Tcp::endpoint target;
-    Route ends;
+    Route endpoints;
     Context context;
     Conditions conditions;
     bool connecting = false;
     bool connected = false;
-    bool lost = false;
+    bool blackholed = false;
     bool finished = false;
 };
 
--- a/tests/standins/proxy/proxyprogram.cpp
+++ b/tests/standins/proxy/proxyprogram.cpp
@@ -46,7 +46,7 @@
     const std::string name = command.at("name").get<std::string>();
     auto targets = targetsOf(command);
     if (this->links.count(name) > 0) {
-        throw std::invalid_argument("there is a link " + name);
+        throw std::invalid_argument("a link of this name already exists: " + name);
     }
     auto listener = std::make_unique<Listener>(
             this->loop, command.value("listen", "127.0.0.1:0"), [this, name](Tcp::socket socket) {
@@ -85,7 +85,7 @@
         if (fault.kind == FaultKind::Lose) {
             connection->reset();
         } else if (fault.kind == FaultKind::SilenceOpen) {
-            connection->lose();
+            connection->blackhole();
         }
     }
     this->updateConditions();
--- a/tests/standins/proxy/proxyprogram.h
+++ b/tests/standins/proxy/proxyprogram.h
@@ -1,4 +1,4 @@
-/// The links of the proxy, its faults and their commands.
+/// The proxy: its links, its faults and the commands that change them.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -19,7 +19,7 @@
 
 class Control;
 
-/// Carries out the control protocol's commands of the proxy.
+/// Executes the commands of the control protocol and forwards the connections of all links.
 /// @remarks Not thread safe.
 class ProxyProgram
 {
--- a/tests/standins/proxy/route.h
+++ b/tests/standins/proxy/route.h
@@ -1,4 +1,4 @@
-/// A connection as faults see it.
+/// The properties of a connection by which faults are matched.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -7,7 +7,7 @@
 
 namespace standins {
 
-/// Between which ends a connection runs, and over which link.
+/// The link that a connection uses and the addresses of its two ends.
 struct Route
 {
     std::string link;
--- a/tests/standins/proxy/traffic.h
+++ b/tests/standins/proxy/traffic.h
@@ -1,4 +1,4 @@
-/// Counters of a link or of a pair of sides.
+/// Traffic counters of a link, or of the connections from one side to another.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -7,17 +7,17 @@
 
 namespace standins {
 
-/// Connections and bytes.
+/// Counters of connections and bytes.
 struct Traffic
 {
     std::uint64_t connections = 0;
     std::uint64_t open = 0;
-    std::uint64_t refused = 0;   ///< Reset because the target or a fault refused.
-    std::uint64_t reset = 0;     ///< Reset later.
-    std::uint64_t bytesTo = 0;   ///< From the source to the target.
+    std::uint64_t refused = 0; ///< Never established: no target, connect failed or cut by a fault.
+    std::uint64_t reset = 0;   ///< Reset later, by an end or by a fault.
+    std::uint64_t bytesTo = 0; ///< From the source to the target.
     std::uint64_t bytesFrom = 0; ///< From the target to the source.
 
-    /// Returns the counters by their names in the control protocol.
+    /// Returns the counters under their names in the control protocol.
     [[nodiscard]] auto toJson() const -> Json
     {
         return { { "connections", this->connections }, { "open", this->open },
--- a/tests/standins/store/main.cpp
+++ b/tests/standins/store/main.cpp
@@ -1,4 +1,4 @@
-/// The stand-in of the platform's metadata store.
+/// The store stand-in: the platform's metadata store.
 #include "standins/common/program.h"
 #include "standins/store/storeprogram.h"
 
--- a/tests/standins/store/storemode.h
+++ b/tests/standins/store/storemode.h
@@ -1,19 +1,19 @@
-/// How the store treats calls.
+/// Fault modes of the store stand-in.
 #pragma once
 
 #include <cstdint>
 
 namespace standins {
 
-/// What happens to a call.
+/// How the store answers a call; set by the command `mode`.
 enum class StoreMode : std::uint8_t {
-    Unknown, ///< Not a mode: a text that is none.
+    Unknown, ///< The text in the command is not the name of a mode.
     Up,
-    Busy,    ///< 503: nothing was done.
-    Many,    ///< 429: too many calls.
-    Silent,  ///< No answer.
-    Reset,   ///< The connection is reset.
-    Garbage, ///< Bytes that are no JSON.
+    Busy,            ///< Answers 503: unavailable, nothing was done.
+    TooManyRequests, ///< Answers 429: too many requests.
+    Silent,          ///< Never answers.
+    Reset,           ///< Resets the connection.
+    Garbage,         ///< Answers 200 with bytes that are not JSON.
 };
 
 } // namespace standins
--- a/tests/standins/store/storeprogram.cpp
+++ b/tests/standins/store/storeprogram.cpp
@@ -14,7 +14,7 @@
 NLOHMANN_JSON_SERIALIZE_ENUM(StoreMode, { { StoreMode::Unknown, nullptr },
                                           { StoreMode::Up, "up" },
                                           { StoreMode::Busy, "busy" },
-                                          { StoreMode::Many, "many" },
+                                          { StoreMode::TooManyRequests, "many" },
                                           { StoreMode::Silent, "silent" },
                                           { StoreMode::Reset, "reset" },
                                           { StoreMode::Garbage, "garbage" } })
@@ -23,10 +23,10 @@
 
 constexpr std::size_t historyMax = 10000;
 
-auto hexValue(char letter) -> int
+auto hexValue(char digit) -> int
 {
     const std::string digits = "0123456789abcdef";
-    const auto found = digits.find(static_cast<char>(std::tolower(letter)));
+    const auto found = digits.find(static_cast<char>(std::tolower(digit)));
     return found == std::string::npos ? 0 : static_cast<int>(found);
 }
 
@@ -44,21 +44,21 @@
     return result;
 }
 
-/// Returns the query parameter `name`, or an empty text.
-auto query(const std::string &target, const std::string &name) -> std::string
+/// Returns the decoded query parameter `name`; empty if it is missing.
+auto queryParameter(const std::string &target, const std::string &name) -> std::string
 {
     for (const char separator : { '?', '&' }) {
-        const std::string start = separator + name + "=";
-        const auto place = target.find(start);
-        if (place != std::string::npos) {
-            const auto begin = place + start.size();
+        const std::string parameterPrefix = separator + name + "=";
+        const auto position = target.find(parameterPrefix);
+        if (position != std::string::npos) {
+            const auto begin = position + parameterPrefix.size();
             return decodePercent(target.substr(begin, target.find('&', begin) - begin));
         }
     }
     return {};
 }
 
-auto number(const std::string &text) -> std::uint64_t
+auto parseNumber(const std::string &text) -> std::uint64_t
 {
     return std::strtoull(text.c_str(), nullptr, 10);
 }
@@ -87,9 +87,9 @@
 
 } // namespace
 
-StoreProgram::StoreProgram(asio::io_context &owner, Control &control, const Json &options)
-    : loop(owner), pageItems(options.value("page", std::size_t(50))),
-      server(owner, options.value("listen", "127.0.0.1:0"),
+StoreProgram::StoreProgram(asio::io_context &ioContext, Control &control, const Json &options)
+    : loop(ioContext), pageSize(options.value("page", std::size_t(50))),
+      server(ioContext, options.value("listen", "127.0.0.1:0"),
              [this](const Connection &connection, const HttpRequest &request) {
                  this->handle(connection, request);
              })
@@ -98,21 +98,21 @@
     control.on("remove", [this](const Json &command) { return this->remove(command); });
     control.on("mode", [this](const Json &command) { return this->setMode(command); });
     control.on("slow", [this](const Json &command) -> Json {
-        this->slowness = Millis(command.at("ms").get<std::int64_t>());
+        this->answerDelay = Millis(command.at("ms").get<std::int64_t>());
         return Json::object();
     });
     control.on("lose", [this](const Json &command) -> Json {
-        this->loss = command.at("share").get<double>();
+        this->unansweredShare = command.at("share").get<double>();
         return Json::object();
     });
     control.on("forget", [this](const Json & /*command*/) -> Json {
         this->history.clear();
-        this->forgotten = this->revision;
+        this->compactedRevision = this->revision;
         return Json::object();
     });
     control.on("counts", [this](const Json & /*command*/) -> Json {
-        return { { "calls", this->calls },
-                 { "late", this->lateCalls },
+        return { { "calls", this->callsByPath },
+                 { "late", this->staleOkCalls },
                  { "revision", this->revision } };
     });
 }
@@ -124,8 +124,8 @@
     auto &item = this->items[key];
     item.value = value.is_string() ? value.get<std::string>() : value.dump();
     item.revision = ++this->revision;
-    item.created = item.created == 0 ? item.revision : item.created;
-    this->note(key, this->itemJson(key, item));
+    item.createdRevision = item.createdRevision == 0 ? item.revision : item.createdRevision;
+    this->recordChange(key, this->itemJson(key, item));
     return { { "revision", item.revision } };
 }
 
@@ -136,21 +136,22 @@
         throw std::invalid_argument("no such key");
     }
     ++this->revision;
-    this->note(key, { { "key", key }, { "revision", this->revision }, { "removed", true } });
+    this->recordChange(key,
+                       { { "key", key }, { "revision", this->revision }, { "removed", true } });
     return { { "revision", this->revision } };
 }
 
-auto StoreProgram::note(const std::string &key, Json event) -> void
+auto StoreProgram::recordChange(const std::string &key, Json event) -> void
 {
     this->history.push_back({ this->revision, key, std::move(event) });
     if (this->history.size() > historyMax) {
-        this->forgotten = this->history.front().revision;
+        this->compactedRevision = this->history.front().revision;
         this->history.pop_front();
     }
     const auto waiting = this->watches;
     for (const auto &watch : waiting) {
         if (startsWith(key, watch->prefix)) {
-            this->endWatch(watch);
+            this->answerWatch(watch);
         }
     }
 }
@@ -162,7 +163,7 @@
         throw std::invalid_argument("unknown mode");
     }
     const auto host = command.value("host", "");
-    this->modes[host] = mode;
+    this->modesByHost[host] = mode;
     if (host.empty() && mode != StoreMode::Up) {
         for (const auto &watch : std::exchange(this->watches, {})) {
             watch->timer->cancel();
@@ -176,22 +177,22 @@
 
 auto StoreProgram::modeOf(const Connection &connection) const -> StoreMode
 {
-    const auto all = this->modes.find("");
-    if (all != this->modes.end() && all->second != StoreMode::Up) {
+    const auto all = this->modesByHost.find("");
+    if (all != this->modesByHost.end() && all->second != StoreMode::Up) {
         return all->second;
     }
-    const auto found = this->modes.find(connection->peerIp());
-    return found == this->modes.end() ? StoreMode::Up : found->second;
+    const auto found = this->modesByHost.find(connection->peerIp());
+    return found == this->modesByHost.end() ? StoreMode::Up : found->second;
 }
 
 auto StoreProgram::handle(const Connection &connection, const HttpRequest &request) -> void
 {
     const std::string target(request.target());
-    ++this->calls[target.substr(0, target.find('?'))];
-    this->lateCalls += query(target, "staleOk") == "1" ? 1 : 0;
+    ++this->callsByPath[target.substr(0, target.find('?'))];
+    this->staleOkCalls += queryParameter(target, "staleOk") == "1" ? 1 : 0;
     const auto mode = this->modeOf(connection);
     std::uniform_real_distribution<double> draw(0, 1);
-    if (mode == StoreMode::Silent || draw(this->random) < this->loss) {
+    if (mode == StoreMode::Silent || draw(this->random) < this->unansweredShare) {
         return;
     }
     if (mode == StoreMode::Reset) {
@@ -207,7 +208,7 @@
         connection->answer(refused);
         return;
     }
-    const auto timer = std::make_shared<asio::steady_timer>(this->loop, this->slowness);
+    const auto timer = std::make_shared<asio::steady_timer>(this->loop, this->answerDelay);
     timer->async_wait([this, timer, connection, target](ErrorCode error) {
         if (!error) {
             this->route(connection, target);
@@ -234,7 +235,7 @@
     return { { "key", key },
              { "value", toBase64(item.value) },
              { "revision", item.revision },
-             { "createdRev", item.created },
+             { "createdRev", item.createdRevision },
              { "lease", 0 } };
 }
 
@@ -248,7 +249,7 @@
 
 auto StoreProgram::readKey(const Connection &connection, const std::string &target) -> void
 {
-    const auto key = query(target, "key");
+    const auto key = queryParameter(target, "key");
     const auto found = this->items.find(key);
     if (found == this->items.end()) {
         connection->answer(statusAnswer(404));
@@ -261,15 +262,15 @@
 
 auto StoreProgram::readRange(const Connection &connection, const std::string &target) -> void
 {
-    const auto prefix = query(target, "prefix");
-    const auto after = query(target, "after");
+    const auto prefix = queryParameter(target, "prefix");
+    const auto after = queryParameter(target, "after");
     auto list = Json::array();
     bool more = false;
     for (const auto &[key, item] : this->items) {
         if (!startsWith(key, prefix) || (!after.empty() && key <= after)) {
             continue;
         }
-        if (list.size() == this->pageItems) {
+        if (list.size() == this->pageSize) {
             more = true;
             break;
         }
@@ -295,27 +296,27 @@
 {
     const auto watch = std::make_shared<Watch>();
     watch->connection = connection;
-    watch->prefix = query(target, "prefix");
-    watch->after = number(query(target, "after"));
-    if (watch->after < this->forgotten) {
+    watch->prefix = queryParameter(target, "prefix");
+    watch->after = parseNumber(queryParameter(target, "after"));
+    if (watch->after < this->compactedRevision) {
         connection->answer(statusAnswer(410));
         return;
     }
-    const Millis wait(static_cast<std::int64_t>(number(query(target, "waitMs"))));
+    const Millis wait(static_cast<std::int64_t>(parseNumber(queryParameter(target, "waitMs"))));
     watch->timer = std::make_shared<asio::steady_timer>(this->loop, wait);
     this->watches.push_back(watch);
     if (!this->eventsFor(*watch).empty()) {
-        this->endWatch(watch);
+        this->answerWatch(watch);
         return;
     }
     watch->timer->async_wait([this, watch](ErrorCode error) {
         if (!error) {
-            this->endWatch(watch);
+            this->answerWatch(watch);
         }
     });
 }
 
-auto StoreProgram::endWatch(const WatchPtr &watch) -> void
+auto StoreProgram::answerWatch(const WatchPtr &watch) -> void
 {
     const auto found = std::find(this->watches.begin(), this->watches.end(), watch);
     if (found == this->watches.end()) {
--- a/tests/standins/store/storeprogram.h
+++ b/tests/standins/store/storeprogram.h
@@ -1,4 +1,4 @@
-/// The platform's metadata store as packet hosts read it.
+/// The platform's metadata store, with the HTTP calls by which packet hosts read it.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -18,12 +18,13 @@
 
 class Control;
 
-/// Keeps items with revisions and a bounded history; serves items, ranges and watches, with faults.
+/// Holds items with their revisions and a bounded history of changes. Serves single items, ranges
+/// and watches (long polls), and injects faults on command.
 /// @remarks Not thread safe.
 class StoreProgram
 {
 public:
-    StoreProgram(asio::io_context &owner, Control &control, const Json &options);
+    StoreProgram(asio::io_context &ioContext, Control &control, const Json &options);
 
     /// Returns the fields of the `ready` event.
     [[nodiscard]] auto ready() const -> Json { return { { "address", this->server.address() } }; }
@@ -36,7 +37,7 @@
     {
         std::string value;
         std::uint64_t revision = 0;
-        std::uint64_t created = 0;
+        std::uint64_t createdRevision = 0;
     };
     struct Change
     {
@@ -61,8 +62,8 @@
     auto readKey(const Connection &connection, const std::string &target) -> void;
     auto readRange(const Connection &connection, const std::string &target) -> void;
     auto watch(const Connection &connection, const std::string &target) -> void;
-    auto endWatch(const WatchPtr &watch) -> void;
-    auto note(const std::string &key, Json event) -> void;
+    auto answerWatch(const WatchPtr &watch) -> void;
+    auto recordChange(const std::string &key, Json event) -> void;
     auto answer(const Connection &connection, const Json &body) -> void;
     [[nodiscard]] auto eventsFor(const Watch &watch) const -> Json;
     [[nodiscard]] auto itemJson(const std::string &key, const Item &item) const -> Json;
@@ -73,14 +74,14 @@
     std::map<std::string, Item> items;
     std::deque<Change> history;
     std::uint64_t revision = 1;
-    std::uint64_t forgotten = 0;            ///< Changes up to this are no longer kept.
-    std::map<std::string, StoreMode> modes; ///< By the host's IP number; "" for all.
-    Millis slowness { 0 };
-    double loss = 0; ///< Share of answers that never come.
-    std::size_t pageItems = 50;
+    std::uint64_t compactedRevision = 0;          ///< Changes up to this revision were dropped.
+    std::map<std::string, StoreMode> modesByHost; ///< By the host's IP address; "" for all hosts.
+    Millis answerDelay { 0 };
+    double unansweredShare = 0; ///< Share of calls that are not answered, 0 to 1.
+    std::size_t pageSize = 50;
     std::vector<WatchPtr> watches;
-    std::map<std::string, std::uint64_t> calls; ///< By path.
-    std::uint64_t lateCalls = 0;
+    std::map<std::string, std::uint64_t> callsByPath; ///< Number of calls by path.
+    std::uint64_t staleOkCalls = 0;                   ///< Calls with `staleOk=1`.
     HttpServer server;
 };
 
