--- a/tests/standins/caller/answercheck.cpp
+++ b/tests/standins/caller/answercheck.cpp
@@ -6,17 +6,18 @@
 
 namespace {
 
-auto faultOf(const Json &answer, std::size_t length, const ExpectedAnswer &expected) -> AnswerFault
+auto findFault(const Json &answer, std::size_t length, const ExpectedAnswer &expected)
+        -> AnswerFault
 {
     if (answer.value("length", std::size_t(0)) != length) {
         return AnswerFault::Incomplete;
     }
     if (!expected.service.empty() && answer.value("service", "") != expected.service) {
-        return AnswerFault::Misdelivered;
+        return AnswerFault::WrongService;
     }
-    const bool otherKey = !expected.key.empty() && answer.value("key", "") != expected.key;
-    if (otherKey || answer.value("path", "") != expected.path) {
-        return AnswerFault::Crossed;
+    const bool keyDiffers = !expected.key.empty() && answer.value("key", "") != expected.key;
+    if (keyDiffers || answer.value("path", "") != expected.path) {
+        return AnswerFault::WrongRequest;
     }
     return answer.value("body_hash", "") == expected.bodyHash ? AnswerFault::None
                                                               : AnswerFault::Incomplete;
@@ -30,7 +31,7 @@
     if (!answer.is_object()) {
         return {};
     }
-    return { faultOf(answer, body.size(), expected), answer.value("upstream", ""),
+    return { findFault(answer, body.size(), expected), answer.value("upstream", ""),
              answer.value("service", "") };
 }
 
--- a/tests/standins/caller/answercheck.h
+++ b/tests/standins/caller/answercheck.h
@@ -1,28 +1,28 @@
-/// Whether an answer is the whole answer to its own request.
+/// Checks that an answer is complete and belongs to the request it was received for.
 #pragma once
 
 #include <string>
 
 namespace standins {
 
-/// What is wrong with an answer.
+/// The fault found in an answer.
 enum class AnswerFault {
     None,
-    Incomplete,   ///< Its length or its hash of the request's body is wrong.
-    Crossed,      ///< It answers another request.
-    Misdelivered, ///< It comes from another service.
+    Incomplete,   ///< The length of the answer or the echoed hash of the request body is wrong.
+    WrongRequest, ///< The echoed key or path is that of another request.
+    WrongService, ///< The answer comes from an upstream of another service.
 };
 
-/// What an upstream's answer must echo.
+/// The values that the upstream's answer must echo.
 struct ExpectedAnswer
 {
-    std::string key; ///< Empty: not checked.
+    std::string key; ///< Idempotency key; not checked if empty.
     std::string path;
     std::string bodyHash;
-    std::string service; ///< Empty: not checked.
+    std::string service; ///< Not checked if empty.
 };
 
-/// An upstream's answer and what is wrong with it.
+/// The result of checking an answer, with the upstream and service that the answer names.
 struct CheckedAnswer
 {
     AnswerFault fault = AnswerFault::Incomplete;
@@ -30,7 +30,7 @@
     std::string service;
 };
 
-/// Compares the answer's body with what is expected.
+/// Compares the JSON body of an answer with the expected values.
 [[nodiscard]] auto checkAnswer(const std::string &body, const ExpectedAnswer &expected)
         -> CheckedAnswer;
 
--- a/tests/standins/caller/callanswer.h
+++ b/tests/standins/caller/callanswer.h
@@ -1,4 +1,4 @@
-/// An answer as a caller reads it.
+/// The parts of an HTTP response that a caller evaluates.
 #pragma once
 
 #include "standins/caller/verdict.h"
@@ -14,26 +14,27 @@
 
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// The headers of an answer that a caller acts on.
+/// The status and headers of an answer that determine what the caller does next.
 struct AnswerHead
 {
     unsigned status = 0;
     Verdict verdict = Verdict::None;
-    std::string reason;                ///< Of a refusal.
-    std::optional<double> retryAfterS; ///< When to come back, if at all.
-    std::string token;                 ///< Empty where none was set.
+    std::string reason;                ///< Why the request was refused; empty if not stated.
+    std::optional<double> retryAfterS; ///< Seconds to wait before a retry, if stated.
+    std::string token;                 ///< Flow token from `Set-Cookie`; empty if none was set.
 
-    /// Reads them from `response`.
-    [[nodiscard]] static auto of(const HttpResponse &response) -> AnswerHead;
+    /// Extracts the status and the headers from `response`.
+    [[nodiscard]] static auto fromResponse(const HttpResponse &response) -> AnswerHead;
     [[nodiscard]] auto isOk() const -> bool { return this->status >= 200 && this->status < 300; }
 };
 
-/// What became of one attempt.
+/// The outcome of one attempt to send a request.
 struct AttemptResult
 {
-    ErrorCode error; ///< Of the connection; without one `head` and `body` are set.
+    ErrorCode error; ///< Connection error; if there is none, `head` and `body` are set.
     bool timedOut = false;
-    bool staleConnection = false; ///< A kept connection that had been closed: not a byte came back.
+    /// A reused connection failed before any byte of the answer arrived: the peer had closed it.
+    bool staleConnection = false;
     AnswerHead head;
     std::string body;
 };
--- a/tests/standins/caller/callerprogram.cpp
+++ b/tests/standins/caller/callerprogram.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr double defaultTimeoutMs = 10000; ///< Of a single request.
+constexpr double defaultTimeoutMs = 10000; ///< For the command `request`.
 
-auto requestOf(const Json &command) -> CallRequest
+auto parseRequest(const Json &command) -> CallRequest
 {
     CallRequest request;
     request.method = command.value("method", request.method);
@@ -29,12 +29,12 @@
     return request;
 }
 
-auto describe(const CallRequest &request, const AttemptResult &result) -> Json
+auto describeResult(const CallRequest &request, const AttemptResult &result) -> Json
 {
     const AnswerHead &head = result.head;
     const ExpectedAnswer expected { request.key, request.path, bodyHash(request.body), "" };
     const CheckedAnswer checked = checkAnswer(result.body, expected);
-    const bool whole = !result.error && head.isOk() && checked.fault == AnswerFault::None;
+    const bool complete = !result.error && head.isOk() && checked.fault == AnswerFault::None;
     return { { "status", head.status },
              { "verdict", toString(head.verdict) },
              { "reason", head.reason },
@@ -42,7 +42,7 @@
              { "token", head.token },
              { "upstream", checked.upstream },
              { "service", checked.service },
-             { "whole", whole },
+             { "whole", complete },
              { "timed_out", result.timedOut },
              { "error", result.error ? result.error.message() : "" },
              { "body", result.body.substr(0, result.body.find_last_not_of(' ') + 1) } };
@@ -55,19 +55,19 @@
 {
     control.on("load", [this](const Json &command) { return this->startLoad(command); });
     control.on("stop", [this](const Json &command) {
-        std::visit([](const auto &load) { load->stop(); }, this->loadOf(command));
+        std::visit([](const auto &load) { load->stop(); }, this->findLoad(command));
         return Json::object();
     });
     control.onDeferred("wait", [this](const Json &command, const Control::Reply &reply) {
         std::visit([&reply](const auto &load) { load->wait([reply] { reply(Json::object()); }); },
-                   this->loadOf(command));
+                   this->findLoad(command));
     });
     control.on("report", [this](const Json &command) {
-        return std::visit([](const auto &load) { return load->report(); }, this->loadOf(command));
+        return std::visit([](const auto &load) { return load->report(); }, this->findLoad(command));
     });
     control.on("verdicts", [this](const Json &command) -> Json {
         return { { "verdicts", std::visit([](const auto &load) { return load->verdicts(); },
-                                          this->loadOf(command)) } };
+                                          this->findLoad(command)) } };
     });
     control.onDeferred("request", [this](const Json &command, const Control::Reply &reply) {
         this->sendRequest(command, reply);
@@ -79,7 +79,7 @@
     LoadOptions options = LoadOptions::fromJson(command);
     const std::string name = options.name;
     if (this->loads.count(name) > 0) {
-        throw std::invalid_argument("there is a load " + name);
+        throw std::invalid_argument("load already exists: " + name);
     }
     if (options.kind == LoadKind::Feed) {
         this->loads.emplace(name, std::make_unique<FeedLoad>(this->loop, std::move(options)));
@@ -92,7 +92,7 @@
 
 auto CallerProgram::sendRequest(const Json &command, const Control::Reply &reply) -> void
 {
-    const CallRequest request = requestOf(command);
+    const CallRequest request = parseRequest(command);
     std::optional<asio::ip::address> source;
     if (command.contains("source")) {
         source = asio::ip::make_address(command.at("source").get<std::string>());
@@ -105,20 +105,20 @@
     connection->send(request.toBytes(),
                      std::chrono::duration_cast<std::chrono::nanoseconds>(timeout),
                      [request, reply, start](const AttemptResult &result) {
-                         const std::chrono::duration<double, std::milli> passed =
+                         const std::chrono::duration<double, std::milli> elapsed =
                                  std::chrono::steady_clock::now() - start;
-                         Json answer = describe(request, result);
-                         answer["ms"] = passed.count();
+                         Json answer = describeResult(request, result);
+                         answer["ms"] = elapsed.count();
                          reply(std::move(answer));
                      });
 }
 
-auto CallerProgram::loadOf(const Json &command) -> Load &
+auto CallerProgram::findLoad(const Json &command) -> Load &
 {
     const std::string name = command.at("name").get<std::string>();
     const auto load = this->loads.find(name);
     if (load == this->loads.end()) {
-        throw std::invalid_argument("no load " + name);
+        throw std::invalid_argument("no such load: " + name);
     }
     return load->second;
 }
--- a/tests/standins/caller/callerprogram.h
+++ b/tests/standins/caller/callerprogram.h
@@ -1,4 +1,4 @@
-/// The loads of a caller and their commands.
+/// The load generators of the caller stand-in and the commands that control them.
 #pragma once
 
 #include "standins/caller/callanswer.h"
@@ -17,14 +17,14 @@
 
 namespace standins {
 
-/// Carries out the control protocol's commands of the caller stand-in.
+/// Executes the control protocol commands of the caller stand-in.
 /// @remarks Not thread safe.
 class CallerProgram
 {
 public:
     CallerProgram(asio::io_context &loop, Control &control, const Json &options);
 
-    /// Returns the fields of the `ready` event: a caller has no address.
+    /// Returns the fields of the `ready` event. The address is null: a caller does not listen.
     [[nodiscard]] auto ready() const -> Json { return { { "address", nullptr } }; }
 
 private:
@@ -32,7 +32,7 @@
 
     auto startLoad(const Json &command) -> Json;
     auto sendRequest(const Json &command, const Control::Reply &reply) -> void;
-    [[nodiscard]] auto loadOf(const Json &command) -> Load &;
+    [[nodiscard]] auto findLoad(const Json &command) -> Load &;
 
     asio::io_context &loop;
     std::mt19937_64 random;
--- a/tests/standins/caller/callrecord.h
+++ b/tests/standins/caller/callrecord.h
@@ -1,4 +1,4 @@
-/// What a caller was told of one of its requests.
+/// The verdicts that a caller received for one of its requests.
 #pragma once
 
 #include "standins/caller/verdict.h"
@@ -11,30 +11,32 @@
 /// The verdicts of all attempts of one request.
 struct CallRecord
 {
-    std::string key; ///< Empty for none; then the path names it.
+    std::string key; ///< Idempotency key; if empty, the path identifies the request.
     std::string path;
     unsigned attempts = 0;
-    unsigned notRun = 0; ///< Attempts that were answered `not-run`.
-    bool sawRun = false; ///< An attempt was answered `run`.
+    unsigned notRunAttempts = 0; ///< Number of attempts answered `not-run`.
+    bool anyAttemptRun = false;  ///< Whether any attempt was answered `run`.
     bool answered = false;
-    Verdict last = Verdict::None;
+    Verdict lastVerdict = Verdict::None;
 
-    /// Returns what is known of all attempts together: `NotRun` only if each was answered so.
-    [[nodiscard]] auto overall() const -> Verdict
+    /// Returns the verdict on the request over all attempts: `Run` if it was answered or any
+    /// attempt was answered `run`, `NotRun` if every attempt was answered `not-run`, otherwise
+    /// `Unknown`.
+    [[nodiscard]] auto overallVerdict() const -> Verdict
     {
-        if (this->answered || this->sawRun) {
+        if (this->answered || this->anyAttemptRun) {
             return Verdict::Run;
         }
-        return this->attempts == this->notRun ? Verdict::NotRun : Verdict::Unknown;
+        return this->attempts == this->notRunAttempts ? Verdict::NotRun : Verdict::Unknown;
     }
 
-    /// Returns the entry of the command `verdicts`.
+    /// Returns this request's entry in the answer to the command `verdicts`.
     [[nodiscard]] auto toJson(bool idempotent) const -> Json
     {
         return { { "key", this->key },
                  { "path", this->path },
-                 { "verdict", toString(this->overall()) },
-                 { "last", toString(this->last) },
+                 { "verdict", toString(this->overallVerdict()) },
+                 { "last", toString(this->lastVerdict) },
                  { "answered", this->answered },
                  { "attempts", this->attempts },
                  { "idempotent", idempotent } };
--- a/tests/standins/caller/callrequest.h
+++ b/tests/standins/caller/callrequest.h
@@ -1,4 +1,4 @@
-/// A request as a caller sends it.
+/// An HTTP request of the caller and its serialisation.
 #pragma once
 
 #include <string>
@@ -12,15 +12,15 @@
 {
     std::string method = "GET";
     std::string path = "/";
-    std::string host;   ///< The address that it is sent to.
-    std::string accept; ///< Empty for none.
-    std::string key;    ///< Idempotency key; empty for none.
-    std::string token;  ///< Flow token; empty for none.
-    std::string lastEventId;
-    unsigned deadlineMs = 0; ///< The caller's own deadline; 0: none.
+    std::string host;        ///< Value of the `Host` header.
+    std::string accept;      ///< Value of the `Accept` header; empty for none.
+    std::string key;         ///< Idempotency key; empty for none.
+    std::string token;       ///< Flow token; empty for none.
+    std::string lastEventId; ///< Value of the `Last-Event-ID` header; empty for none.
+    unsigned deadlineMs = 0; ///< Caller's deadline, sent as `Flamingograde-Timeout`; 0: none.
     std::string body;
 
-    /// Returns the bytes of the request.
+    /// Serialises the request for HTTP/1.1.
     [[nodiscard]] auto toBytes() const -> std::string;
 };
 
--- a/tests/standins/caller/clientconnection.cpp
+++ b/tests/standins/caller/clientconnection.cpp
@@ -25,16 +25,17 @@
     this->handler = std::move(handler);
     this->timedOut = false;
     this->parser.reset();
-    ++this->sent;
+    ++this->requestsSent;
     this->timer.expires_after(timeout);
-    this->timer.async_wait([self = this->shared_from_this(), number = this->sent](ErrorCode error) {
-        if (!error && number == self->sent && self->handler) {
-            self->timedOut = true;
-            self->finish(asio::error::timed_out);
-        }
-    });
+    this->timer.async_wait(
+            [self = this->shared_from_this(), number = this->requestsSent](ErrorCode error) {
+                if (!error && number == self->requestsSent && self->handler) {
+                    self->timedOut = true;
+                    self->complete(asio::error::timed_out);
+                }
+            });
     if (this->socket.is_open()) {
-        this->write();
+        this->writeRequest();
         return;
     }
     this->connect();
@@ -60,48 +61,49 @@
     }
     if (error) {
         asio::post(this->socket.get_executor(),
-                   [self = this->shared_from_this(), error] { self->finish(error); });
+                   [self = this->shared_from_this(), error] { self->complete(error); });
         return;
     }
     this->socket.async_connect(this->target, [self = this->shared_from_this()](ErrorCode failed) {
         if (failed) {
-            self->finish(failed);
+            self->complete(failed);
             return;
         }
         ErrorCode ignored;
         self->socket.set_option(Tcp::no_delay(true), ignored);
-        self->write();
+        self->writeRequest();
     });
 }
 
-auto ClientConnection::write() -> void
+auto ClientConnection::writeRequest() -> void
 {
-    // An answer may come before the whole request went; so the answer alone decides.
+    // The peer may answer before the whole request is sent, so a write error is ignored and the
+    // outcome depends on the read alone.
     this->writing = true;
     asio::async_write(
             this->socket, asio::buffer(this->request),
             [self = this->shared_from_this()](ErrorCode, std::size_t) { self->writing = false; });
-    this->read();
+    this->readResponse();
 }
 
-auto ClientConnection::read() -> void
+auto ClientConnection::readResponse() -> void
 {
     this->parser.emplace();
     this->parser->body_limit(std::numeric_limits<std::uint64_t>::max());
     http::async_read(this->socket, this->buffer, *this->parser,
                      [self = this->shared_from_this()](ErrorCode error, std::size_t) {
-                         self->finish(error);
+                         self->complete(error);
                      });
 }
 
-auto ClientConnection::finish(ErrorCode error) -> void
+auto ClientConnection::complete(ErrorCode error) -> void
 {
     if (!this->handler) {
         return;
     }
     this->timer.cancel();
-    this->lastAnswer = std::chrono::steady_clock::now();
-    AttemptResult result = this->resultOf(error);
+    this->lastCompletion = std::chrono::steady_clock::now();
+    AttemptResult result = this->makeResult(error);
     if (error || !this->keepAlive) {
         ErrorCode ignored;
         this->keepAlive = false;
@@ -110,7 +112,7 @@
     std::exchange(this->handler, nullptr)(std::move(result));
 }
 
-auto ClientConnection::resultOf(ErrorCode error) -> AttemptResult
+auto ClientConnection::makeResult(ErrorCode error) -> AttemptResult
 {
     AttemptResult result;
     result.error = error;
@@ -118,12 +120,12 @@
     if (!error) {
         HttpResponse response = this->parser->release();
         this->keepAlive = response.keep_alive() && !this->writing;
-        result.head = AnswerHead::of(response);
+        result.head = AnswerHead::fromResponse(response);
         result.body = std::move(response.body());
         return result;
     }
     const bool nothingRead = !this->parser || !this->parser->got_some();
-    result.staleConnection = !this->timedOut && this->sent > 1 && nothingRead;
+    result.staleConnection = !this->timedOut && this->requestsSent > 1 && nothingRead;
     return result;
 }
 
--- a/tests/standins/caller/connectionpool.cpp
+++ b/tests/standins/caller/connectionpool.cpp
@@ -7,16 +7,17 @@
 
 namespace {
 
-constexpr auto idleMax = std::chrono::seconds(2); ///< A connection is kept this long.
+/// Idle connections are dropped after this time.
+constexpr auto maxIdleTime = std::chrono::seconds(2);
 
 } // namespace
 
 ConnectionPool::ConnectionPool(asio::io_context &loop, Tcp::endpoint target,
-                               std::optional<asio::ip::address> source, unsigned reuse)
-    : loop(loop), target(std::move(target)), source(std::move(source)), reuse(reuse)
+                               std::optional<asio::ip::address> source, unsigned maxRequests)
+    : loop(loop), target(std::move(target)), source(std::move(source)), maxRequests(maxRequests)
 {}
 
-auto ConnectionPool::take() -> ClientConnection::Ptr
+auto ConnectionPool::acquire() -> ClientConnection::Ptr
 {
     while (!this->idle.empty()) {
         const ClientConnection::Ptr connection = this->idle.back();
@@ -25,28 +26,28 @@
             return connection;
         }
     }
-    return this->makeNew();
+    return this->create();
 }
 
-auto ConnectionPool::makeNew() -> ClientConnection::Ptr
+auto ConnectionPool::create() -> ClientConnection::Ptr
 {
     return std::make_shared<ClientConnection>(this->loop, this->target, this->source);
 }
 
-auto ConnectionPool::giveBack(const ClientConnection::Ptr &connection) -> void
+auto ConnectionPool::release(const ClientConnection::Ptr &connection) -> void
 {
-    if (connection->requests() < this->reuse && connection->isReusable()) {
+    if (connection->requestCount() < this->maxRequests && connection->isReusable()) {
         this->idle.push_back(connection);
     }
 }
 
-auto ConnectionPool::sweep() -> void
+auto ConnectionPool::dropUnusable() -> void
 {
     const auto now = std::chrono::steady_clock::now();
-    const auto isOver = [now](const ClientConnection::Ptr &connection) {
-        return now - connection->idleSince() > idleMax || !connection->isReusable();
+    const auto isUnusable = [now](const ClientConnection::Ptr &connection) {
+        return now - connection->idleSince() > maxIdleTime || !connection->isReusable();
     };
-    this->idle.erase(std::remove_if(this->idle.begin(), this->idle.end(), isOver),
+    this->idle.erase(std::remove_if(this->idle.begin(), this->idle.end(), isUnusable),
                      this->idle.end());
 }
 
--- a/tests/standins/caller/connectionpool.h
+++ b/tests/standins/caller/connectionpool.h
@@ -1,4 +1,4 @@
-/// The connections that a load keeps for its next requests.
+/// A pool of idle connections that a load generator reuses for later requests.
 #pragma once
 
 #include "standins/caller/clientconnection.h"
@@ -9,30 +9,31 @@
 
 namespace standins {
 
-/// Gives out kept connections and makes new ones.
+/// Hands out idle connections and creates new ones.
 /// @remarks Not thread safe.
 class ConnectionPool
 {
 public:
-    /// @param source the IP number to connect from; none: the system's choice.
-    /// @param reuse the most requests on one connection.
+    /// @param source the local IP address to connect from; chosen by the system if empty.
+    /// @param maxRequests the maximum number of requests on one connection.
     ConnectionPool(asio::io_context &loop, Tcp::endpoint target,
-                   std::optional<asio::ip::address> source, unsigned reuse);
+                   std::optional<asio::ip::address> source, unsigned maxRequests);
 
-    /// Returns a kept connection, or a new one.
-    [[nodiscard]] auto take() -> ClientConnection::Ptr;
+    /// Returns the most recently used idle connection that is still usable, or a new one.
+    [[nodiscard]] auto acquire() -> ClientConnection::Ptr;
     /// Returns a new connection.
-    [[nodiscard]] auto makeNew() -> ClientConnection::Ptr;
-    /// Takes back a connection whose request is answered; drops it where it can't be kept.
-    auto giveBack(const ClientConnection::Ptr &connection) -> void;
-    /// Drops the connections that were closed by the other end or are idle for too long.
-    auto sweep() -> void;
+    [[nodiscard]] auto create() -> ClientConnection::Ptr;
+    /// Returns a connection to the pool after its request has ended. Drops it if it is not reusable
+    /// or has reached the maximum number of requests.
+    auto release(const ClientConnection::Ptr &connection) -> void;
+    /// Drops idle connections that the peer has closed or that have been idle for too long.
+    auto dropUnusable() -> void;
 
 private:
     asio::io_context &loop;
     Tcp::endpoint target;
     std::optional<asio::ip::address> source;
-    unsigned reuse;
+    unsigned maxRequests;
     std::vector<ClientConnection::Ptr> idle;
 };
 
--- a/tests/standins/caller/eventstream.cpp
+++ b/tests/standins/caller/eventstream.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-const std::string eventEnd = "\n\n";
+const std::string eventTerminator = "\n\n";
 
-auto valueOf(const std::string &line, const std::string &field) -> std::optional<std::string>
+auto parseField(const std::string &line, const std::string &field) -> std::optional<std::string>
 {
     const std::string start = field + ": ";
     if (line.compare(0, start.size(), start) != 0) {
@@ -18,16 +18,16 @@
     return line.substr(start.size());
 }
 
-auto eventOf(const std::string &text) -> std::optional<FeedEvent>
+auto parseEvent(const std::string &text) -> std::optional<FeedEvent>
 {
     FeedEvent event;
     bool hasId = false;
     std::istringstream lines(text);
     for (std::string line; std::getline(lines, line);) {
-        if (const auto id = valueOf(line, "id")) {
+        if (const auto id = parseField(line, "id")) {
             event.id = std::strtoull(id->c_str(), nullptr, 10);
             hasId = true;
-        } else if (const auto data = valueOf(line, "data")) {
+        } else if (const auto data = parseField(line, "data")) {
             event.data += *data;
         }
     }
@@ -36,19 +36,19 @@
 
 } // namespace
 
-auto EventStream::append(const std::string &bytes) -> std::vector<FeedEvent>
+auto EventStreamParser::append(const std::string &bytes) -> std::vector<FeedEvent>
 {
     std::vector<FeedEvent> events;
-    this->rest += bytes;
+    this->unparsed += bytes;
     std::size_t start = 0;
-    for (auto end = this->rest.find(eventEnd); end != std::string::npos;
-         end = this->rest.find(eventEnd, start)) {
-        if (auto event = eventOf(this->rest.substr(start, end - start))) {
+    for (auto end = this->unparsed.find(eventTerminator); end != std::string::npos;
+         end = this->unparsed.find(eventTerminator, start)) {
+        if (auto event = parseEvent(this->unparsed.substr(start, end - start))) {
             events.push_back(std::move(*event));
         }
-        start = end + eventEnd.size();
+        start = end + eventTerminator.size();
     }
-    this->rest.erase(0, start);
+    this->unparsed.erase(0, start);
     return events;
 }
 
--- a/tests/standins/caller/eventstream.h
+++ b/tests/standins/caller/eventstream.h
@@ -1,4 +1,4 @@
-/// Server-sent events out of bytes.
+/// An incremental parser for server-sent events.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,28 @@
 
 namespace standins {
 
-/// One whole event with an id.
+/// A complete server-sent event that has an id.
 struct FeedEvent
 {
     std::uint64_t id = 0;
     std::string data;
 };
 
-/// Cuts a feed's bytes into events.
+/// Splits the bytes of a feed into events.
 /// @remarks Not thread safe.
-class EventStream
+class EventStreamParser
 {
 public:
-    /// Takes bytes and returns the events that they complete; comments are left out.
+    /// Adds received bytes and returns the events that are now complete. Comments and events
+    /// without an id are skipped.
     [[nodiscard]] auto append(const std::string &bytes) -> std::vector<FeedEvent>;
-    /// Drops what has been read of an event that was not completed.
-    auto clear() -> void { this->rest.clear(); }
-    /// Returns whether an event has been read in part.
-    [[nodiscard]] auto isWithinEvent() const -> bool { return !this->rest.empty(); }
+    /// Discards the bytes of an incomplete event.
+    auto clear() -> void { this->unparsed.clear(); }
+    /// Returns whether an event has been received only in part.
+    [[nodiscard]] auto hasPartialEvent() const -> bool { return !this->unparsed.empty(); }
 
 private:
-    std::string rest;
+    std::string unparsed;
 };
 
 } // namespace standins
--- a/tests/standins/caller/feedflow.cpp
+++ b/tests/standins/caller/feedflow.cpp
@@ -19,11 +19,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr auto firstBackOff = std::chrono::milliseconds(20); ///< Doubled by each failure.
-constexpr unsigned backOffDoublings = 6;
-constexpr double defaultRetryAfterS = 1; ///< After a refusal that names none.
+/// Pause after the first failure; doubled after each consecutive one.
+constexpr auto initialBackOff = std::chrono::milliseconds(20);
+constexpr unsigned maxBackOffDoublings = 6; ///< Limit of the pause.
+constexpr double defaultRetryAfterS = 1;    ///< Used if a refusal has no `Retry-After`.
 
-auto nanoseconds(double seconds) -> std::chrono::nanoseconds
+auto toNanoseconds(double seconds) -> std::chrono::nanoseconds
 {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
             std::chrono::duration<double>(seconds));
@@ -32,9 +33,9 @@
 } // namespace
 
 FeedFlow::FeedFlow(asio::io_context &loop, LoadOptions &options, FeedCounts &counts,
-                   std::string path, std::function<void()> opened)
+                   std::string path, std::function<void()> onOpened)
     : socket(loop), timer(loop), options(options), counts(counts), path(std::move(path)),
-      opened(std::move(opened))
+      onOpened(std::move(onOpened))
 {}
 
 auto FeedFlow::open() -> void
@@ -42,56 +43,56 @@
     if (this->stopped) {
         return;
     }
-    ++this->connection;
+    ++this->connectionNumber;
     this->buffer.clear();
-    this->events.clear();
-    this->lastBytes = Clock::now();
+    this->eventParser.clear();
+    this->lastReceived = Clock::now();
     this->socket = Tcp::socket(this->socket.get_executor());
     ErrorCode error;
     if (this->options.source) {
         bindSource(this->socket, *this->options.source, error);
     }
     if (error) {
-        this->failOpening();
+        this->handleOpenFailure();
         return;
     }
     this->socket.async_connect(
             parseEndpoint(this->options.address),
-            [self = this->shared_from_this(), number = this->connection](ErrorCode failed) {
-                if (number != self->connection) {
+            [self = this->shared_from_this(), number = this->connectionNumber](ErrorCode failed) {
+                if (number != self->connectionNumber) {
                     return;
                 }
                 if (failed) {
-                    self->failOpening();
+                    self->handleOpenFailure();
                     return;
                 }
-                self->write();
+                self->sendRequest();
             });
 }
 
 auto FeedFlow::stop() -> void
 {
     this->stopped = true;
-    ++this->connection;
+    ++this->connectionNumber;
     this->timer.cancel();
-    this->closeOpen();
+    this->closeConnection();
 }
 
-auto FeedFlow::checkSilence(Time oldest) -> void
+auto FeedFlow::checkSilence(TimePoint cutoff) -> void
 {
-    if (this->stopped || !this->socket.is_open() || this->lastBytes > oldest) {
+    if (this->stopped || !this->socket.is_open() || this->lastReceived > cutoff) {
         return;
     }
     if (!this->isOpen) {
-        this->failOpening();
+        this->handleOpenFailure();
         return;
     }
     ++this->counts.silent;
-    this->closeOpen();
+    this->closeConnection();
     this->open();
 }
 
-auto FeedFlow::write() -> void
+auto FeedFlow::sendRequest() -> void
 {
     CallRequest call;
     call.path = this->path;
@@ -102,58 +103,58 @@
     this->request = call.toBytes();
     asio::async_write(this->socket, asio::buffer(this->request),
                       [self = this->shared_from_this()](ErrorCode, std::size_t) {});
-    this->readHead();
+    this->readResponseHead();
 }
 
-auto FeedFlow::readHead() -> void
+auto FeedFlow::readResponseHead() -> void
 {
     this->parser.emplace();
     this->parser->body_limit(std::numeric_limits<std::uint64_t>::max());
     http::async_read_header(this->socket, this->buffer, *this->parser,
                             [self = this->shared_from_this(),
-                             number = this->connection](ErrorCode error, std::size_t) {
-                                if (number != self->connection) {
+                             number = this->connectionNumber](ErrorCode error, std::size_t) {
+                                if (number != self->connectionNumber) {
                                     return;
                                 }
                                 if (error) {
-                                    self->failOpening();
+                                    self->handleOpenFailure();
                                     return;
                                 }
-                                self->takeHead();
+                                self->handleResponseHead();
                             });
 }
 
-auto FeedFlow::takeHead() -> void
+auto FeedFlow::handleResponseHead() -> void
 {
-    const AnswerHead head = AnswerHead::of(this->parser->get());
+    const AnswerHead head = AnswerHead::fromResponse(this->parser->get());
     if (!head.isOk()) {
-        this->takeRefusal(head);
+        this->handleRefusal(head);
         return;
     }
     if (!head.token.empty()) {
         this->token = head.token;
     }
-    this->failures = 0;
+    this->consecutiveFailures = 0;
     this->isOpen = true;
     ++this->counts.openings;
     ++this->counts.open;
     if (!this->upstream.empty()) {
         ++this->counts.byUpstream[this->upstream];
     }
-    if (!this->wasOpened) {
-        this->wasOpened = true;
+    if (!this->openedBefore) {
+        this->openedBefore = true;
         ++this->counts.opened;
     }
-    if (this->endedAt) {
-        const std::chrono::duration<double, std::milli> gap = Clock::now() - *this->endedAt;
+    if (this->interruptedAt) {
+        const std::chrono::duration<double, std::milli> gap = Clock::now() - *this->interruptedAt;
         this->counts.gapMs.add(gap.count());
-        this->endedAt.reset();
+        this->interruptedAt.reset();
     }
-    this->opened();
+    this->onOpened();
     this->readEvents();
 }
 
-auto FeedFlow::takeRefusal(const AnswerHead &head) -> void
+auto FeedFlow::handleRefusal(const AnswerHead &head) -> void
 {
     const std::string reason =
             head.reason.empty() ? "http-" + std::to_string(head.status) : head.reason;
@@ -164,31 +165,32 @@
         ++this->counts.restarted;
         this->token.clear();
         this->lastId.reset();
-        this->openAgain(firstBackOff);
+        this->scheduleReopen(initialBackOff);
         return;
     }
-    this->openAgain(nanoseconds(head.retryAfterS.value_or(defaultRetryAfterS)));
+    this->scheduleReopen(toNanoseconds(head.retryAfterS.value_or(defaultRetryAfterS)));
 }
 
 auto FeedFlow::readEvents() -> void
 {
     http::async_read_some(this->socket, this->buffer, *this->parser,
                           [self = this->shared_from_this(),
-                           number = this->connection](ErrorCode error, std::size_t) {
-                              if (number != self->connection) {
+                           number = this->connectionNumber](ErrorCode error, std::size_t) {
+                              if (number != self->connectionNumber) {
                                   return;
                               }
-                              self->takeBytes();
+                              self->handleBodyBytes();
                               if (self->parser->is_done()) {
                                   ++self->counts.moved;
-                                  self->counts.cutEvents += self->events.isWithinEvent() ? 1 : 0;
-                                  self->closeOpen();
+                                  self->counts.cutEvents +=
+                                          self->eventParser.hasPartialEvent() ? 1 : 0;
+                                  self->closeConnection();
                                   self->open();
                                   return;
                               }
                               if (error) {
                                   ++self->counts.brokenFlows;
-                                  self->closeOpen();
+                                  self->closeConnection();
                                   self->open();
                                   return;
                               }
@@ -196,22 +198,22 @@
                           });
 }
 
-auto FeedFlow::takeBytes() -> void
+auto FeedFlow::handleBodyBytes() -> void
 {
     std::string &body = this->parser->get().body();
-    this->lastBytes = Clock::now();
-    for (const FeedEvent &event : this->events.append(body)) {
-        this->takeEvent(event);
+    this->lastReceived = Clock::now();
+    for (const FeedEvent &event : this->eventParser.append(body)) {
+        this->handleEvent(event);
     }
     body.clear();
 }
 
-auto FeedFlow::takeEvent(const FeedEvent &event) -> void
+auto FeedFlow::handleEvent(const FeedEvent &event) -> void
 {
     ++this->counts.events;
-    const std::string before = this->upstream;
-    this->takeOrigin(event.data);
-    if (before == this->upstream && this->lastId) {
+    const std::string previousUpstream = this->upstream;
+    this->checkOrigin(event.data);
+    if (previousUpstream == this->upstream && this->lastId) {
         if (event.id <= *this->lastId) {
             ++this->counts.repeatedEvents;
             return;
@@ -221,8 +223,9 @@
     this->lastId = event.id;
 }
 
-/// Compares the upstream and service of an event with those before.
-auto FeedFlow::takeOrigin(const std::string &data) -> void
+/// Counts the event as misdelivered if it comes from another service, and records a change of the
+/// upstream.
+auto FeedFlow::checkOrigin(const std::string &data) -> void
 {
     const Json origin = Json::parse(data, nullptr, false);
     if (!origin.is_object()) {
@@ -246,17 +249,17 @@
     this->upstream = upstream;
 }
 
-auto FeedFlow::failOpening() -> void
+auto FeedFlow::handleOpenFailure() -> void
 {
     ++this->counts.openFailures;
     ErrorCode ignored;
     this->socket.close(ignored);
-    const unsigned doublings = std::min(this->failures, backOffDoublings);
-    ++this->failures;
-    this->openAgain(firstBackOff * (1U << doublings));
+    const unsigned doublings = std::min(this->consecutiveFailures, maxBackOffDoublings);
+    ++this->consecutiveFailures;
+    this->scheduleReopen(initialBackOff * (1U << doublings));
 }
 
-auto FeedFlow::closeOpen() -> void
+auto FeedFlow::closeConnection() -> void
 {
     ErrorCode ignored;
     this->socket.close(ignored);
@@ -264,16 +267,16 @@
         return;
     }
     this->isOpen = false;
-    this->endedAt = Clock::now();
+    this->interruptedAt = Clock::now();
     --this->counts.open;
     if (!this->upstream.empty()) {
         --this->counts.byUpstream[this->upstream];
     }
 }
 
-auto FeedFlow::openAgain(std::chrono::nanoseconds pause) -> void
+auto FeedFlow::scheduleReopen(std::chrono::nanoseconds pause) -> void
 {
-    ++this->connection;
+    ++this->connectionNumber;
     this->timer.expires_after(pause);
     this->timer.async_wait([self = this->shared_from_this()](ErrorCode error) {
         if (!error) {
--- a/tests/standins/caller/feedflow.h
+++ b/tests/standins/caller/feedflow.h
@@ -1,4 +1,4 @@
-/// One feed of a caller, across all its connections.
+/// One feed of a caller, over all connections used for it.
 #pragma once
 
 #include "standins/caller/callanswer.h"
@@ -20,57 +20,61 @@
 struct FeedCounts;
 struct LoadOptions;
 
-/// Opens a feed, checks its events, and opens it again whenever it ends.
-/// @remarks Not thread safe. Kept alive by what is pending; options and counters outlive it.
+/// Opens a feed, checks its events for loss, repetition and origin, and reopens it when it ends.
+/// @remarks Not thread safe. Pending asynchronous operations keep the object alive; `options` and
+/// `counts` must outlive it.
 class FeedFlow : public std::enable_shared_from_this<FeedFlow>
 {
 public:
-    using Time = std::chrono::steady_clock::time_point;
+    using TimePoint = std::chrono::steady_clock::time_point;
 
+    /// @param onOpened called each time that the feed has been opened.
     FeedFlow(asio::io_context &loop, LoadOptions &options, FeedCounts &counts, std::string path,
-             std::function<void()> opened);
+             std::function<void()> onOpened);
 
     /// Opens the feed. Precondition: owned by a shared pointer.
     auto open() -> void;
-    /// Closes the feed for good.
+    /// Closes the feed permanently.
     auto stop() -> void;
-    /// Gives up the connection if it has been silent since before `oldest`.
-    auto checkSilence(Time oldest) -> void;
+    /// Closes the connection and reopens the feed if no byte has arrived since `cutoff`.
+    auto checkSilence(TimePoint cutoff) -> void;
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
 
-    auto write() -> void;
-    auto readHead() -> void;
-    auto takeHead() -> void;
-    auto takeRefusal(const AnswerHead &head) -> void;
+    auto sendRequest() -> void;
+    auto readResponseHead() -> void;
+    auto handleResponseHead() -> void;
+    auto handleRefusal(const AnswerHead &head) -> void;
     auto readEvents() -> void;
-    auto takeBytes() -> void;
-    auto takeEvent(const FeedEvent &event) -> void;
-    auto takeOrigin(const std::string &data) -> void;
-    auto failOpening() -> void;
-    auto closeOpen() -> void;
-    auto openAgain(std::chrono::nanoseconds pause) -> void;
+    auto handleBodyBytes() -> void;
+    auto handleEvent(const FeedEvent &event) -> void;
+    auto checkOrigin(const std::string &data) -> void;
+    auto handleOpenFailure() -> void;
+    auto closeConnection() -> void;
+    auto scheduleReopen(std::chrono::nanoseconds pause) -> void;
 
     Tcp::socket socket;
     asio::steady_timer timer;
     LoadOptions &options;
     FeedCounts &counts;
     std::string path;
-    std::function<void()> opened;
+    std::function<void()> onOpened;
     boost::beast::flat_buffer buffer;
     std::optional<Parser> parser;
     std::string request;
-    EventStream events;
+    EventStreamParser eventParser;
     std::string token;
     std::optional<std::uint64_t> lastId;
-    std::string upstream; ///< Of the last event.
-    Time lastBytes;
-    std::optional<Time> endedAt;  ///< Since when the feed is interrupted.
-    std::uint32_t connection = 0; ///< Number of the connection; what an earlier one does is void.
-    unsigned failures = 0;        ///< Failed openings in a row.
+    std::string upstream; ///< Upstream that sent the last event; empty before the first one.
+    TimePoint lastReceived;
+    /// When the feed was interrupted; empty while it is open and before the first opening.
+    std::optional<TimePoint> interruptedAt;
+    /// Number of the current connection; completion handlers of earlier connections are ignored.
+    std::uint32_t connectionNumber = 0;
+    unsigned consecutiveFailures = 0; ///< Number of consecutive attempts to open that failed.
     bool isOpen = false;
-    bool wasOpened = false;
+    bool openedBefore = false;
     bool stopped = false;
 };
 
--- a/tests/standins/caller/feedload.cpp
+++ b/tests/standins/caller/feedload.cpp
@@ -9,7 +9,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr double defaultRate = 2000; ///< Openings a second.
+constexpr double defaultRate = 2000; ///< Feeds opened per second.
 constexpr auto silenceCheckPeriod = std::chrono::milliseconds(250);
 
 } // namespace
@@ -18,7 +18,7 @@
     : loop(loop), options(std::move(options)), timer(loop), silenceTimer(loop),
       nextDue(Clock::now())
 {
-    this->scheduleNext();
+    this->scheduleNextOpening();
     this->scheduleSilenceCheck();
 }
 
@@ -29,16 +29,16 @@
     for (const auto &flow : this->flows) {
         flow->stop();
     }
-    this->finish();
+    this->notifyIfDone();
 }
 
 auto FeedLoad::wait(std::function<void()> done) -> void
 {
     this->waiters.push_back(std::move(done));
-    this->finish();
+    this->notifyIfDone();
 }
 
-auto FeedLoad::scheduleNext() -> void
+auto FeedLoad::scheduleNextOpening() -> void
 {
     if (this->stopped || this->flows.size() >= this->options.flows) {
         return;
@@ -46,8 +46,8 @@
     this->timer.expires_at(this->nextDue);
     this->timer.async_wait([this](ErrorCode error) {
         if (!error) {
-            this->openDue();
-            this->scheduleNext();
+            this->openDueFeeds();
+            this->scheduleNextOpening();
         }
     });
 }
@@ -59,32 +59,32 @@
         if (error) {
             return;
         }
-        const std::chrono::duration<double, std::milli> silence(this->options.silenceMs);
-        const auto oldest = Clock::now() - std::chrono::duration_cast<Clock::duration>(silence);
+        const std::chrono::duration<double, std::milli> maxSilence(this->options.silenceMs);
+        const auto cutoff = Clock::now() - std::chrono::duration_cast<Clock::duration>(maxSilence);
         for (const auto &flow : this->flows) {
-            flow->checkSilence(oldest);
+            flow->checkSilence(cutoff);
         }
         this->scheduleSilenceCheck();
     });
 }
 
-auto FeedLoad::openDue() -> void
+auto FeedLoad::openDueFeeds() -> void
 {
     const double rate = this->options.rate > 0 ? this->options.rate : defaultRate;
-    const auto gap =
+    const auto interval =
             std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(1) / rate);
     const auto now = Clock::now();
     while (this->flows.size() < this->options.flows && this->nextDue <= now) {
         const std::string path =
                 "/" + this->options.name + "/" + std::to_string(this->flows.size());
         this->flows.push_back(std::make_shared<FeedFlow>(this->loop, this->options, this->counts,
-                                                         path, [this] { this->finish(); }));
+                                                         path, [this] { this->notifyIfDone(); }));
         this->flows.back()->open();
-        this->nextDue += gap;
+        this->nextDue += interval;
     }
 }
 
-auto FeedLoad::finish() -> void
+auto FeedLoad::notifyIfDone() -> void
 {
     if (!this->stopped && this->counts.open < this->options.flows) {
         return;
--- a/tests/standins/caller/feedload.h
+++ b/tests/standins/caller/feedload.h
@@ -1,4 +1,4 @@
-/// A load of feeds.
+/// A load generator that opens feeds and keeps them open.
 #pragma once
 
 #include "standins/caller/feedcounts.h"
@@ -13,27 +13,27 @@
 
 namespace standins {
 
-/// Opens feeds at a rate and keeps them open.
+/// Opens feeds at a given rate and keeps them open.
 /// @remarks Not thread safe.
 class FeedLoad
 {
 public:
     FeedLoad(asio::io_context &loop, LoadOptions options);
 
-    /// Closes every feed.
+    /// Closes all feeds permanently.
     auto stop() -> void;
-    /// Calls `done` when every feed is open.
+    /// Calls `done` once all feeds are open, or when the load is stopped.
     auto wait(std::function<void()> done) -> void;
-    /// Returns the counters.
+    /// Returns the counters under their control protocol names.
     [[nodiscard]] auto report() const -> Json { return this->counts.toJson(); }
     /// Returns an empty list: feeds have no verdicts.
     [[nodiscard]] static auto verdicts() -> Json { return Json::array(); }
 
 private:
-    auto scheduleNext() -> void;
+    auto scheduleNextOpening() -> void;
     auto scheduleSilenceCheck() -> void;
-    auto openDue() -> void;
-    auto finish() -> void;
+    auto openDueFeeds() -> void;
+    auto notifyIfDone() -> void;
 
     asio::io_context &loop;
     LoadOptions options;
--- a/tests/standins/caller/loadoptions.cpp
+++ b/tests/standins/caller/loadoptions.cpp
@@ -17,7 +17,7 @@
     options.host = json.value("host", options.address);
     options.kind = json.value("kind", options.kind);
     if (options.kind == LoadKind::Unknown) {
-        throw std::invalid_argument("unknown kind of load");
+        throw std::invalid_argument("unknown load kind: expected request, feed or upload");
     }
     options.rate = json.value("rate", options.rate);
     options.count = json.value("count", options.count);
@@ -37,9 +37,10 @@
     options.poisson = json.value("poisson", options.poisson);
     options.keyZone = json.value("key_zone", options.keyZone);
     options.service = json.value("service", options.service);
-    const bool endless = options.kind != LoadKind::Feed && options.count == 0;
-    if (endless && options.rate <= 0) {
-        throw std::invalid_argument("a load without a count needs a rate");
+    const bool unlimited = options.kind != LoadKind::Feed && options.count == 0;
+    if (unlimited && options.rate <= 0) {
+        throw std::invalid_argument(
+                "a load of requests or uploads without a count needs a rate above 0");
     }
     return options;
 }
--- a/tests/standins/caller/main.cpp
+++ b/tests/standins/caller/main.cpp
@@ -1,4 +1,5 @@
-/// The caller stand-in: loads of requests, feeds and uploads, and the check of their answers.
+/// The caller stand-in: a test client that sends requests, uploads and feeds and checks the
+/// answers.
 #include "standins/caller/callerprogram.h"
 #include "standins/common/program.h"
 
--- a/tests/standins/caller/percentiles.cpp
+++ b/tests/standins/caller/percentiles.cpp
@@ -12,11 +12,14 @@
     }
     std::vector<float> sorted = this->values;
     std::sort(sorted.begin(), sorted.end());
-    const auto at = [&sorted](double share) {
+    const auto valueAt = [&sorted](double quantile) {
         const auto last = static_cast<double>(sorted.size() - 1);
-        return sorted[static_cast<std::size_t>(last * share)];
+        return sorted[static_cast<std::size_t>(last * quantile)];
     };
-    return { { "p50", at(0.5) }, { "p99", at(0.99) }, { "p999", at(0.999) }, { "max", at(1) } };
+    return { { "p50", valueAt(0.5) },
+             { "p99", valueAt(0.99) },
+             { "p999", valueAt(0.999) },
+             { "max", valueAt(1) } };
 }
 
 } // namespace standins
--- a/tests/standins/caller/requestload.cpp
+++ b/tests/standins/caller/requestload.cpp
@@ -12,18 +12,19 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr auto sweepPeriod = std::chrono::milliseconds(500);  ///< Of kept connections.
-constexpr auto firstBackOff = std::chrono::milliseconds(100); ///< Doubled by each failure.
-constexpr unsigned backOffDoublings = 5;
-constexpr double retryAfterJitter = 0.1; ///< Added to a told pause, at most, as a share of it.
+constexpr auto poolCleanupPeriod = std::chrono::milliseconds(500);
+/// Shortest pause after the first failure; doubled after each further one.
+constexpr auto initialBackOff = std::chrono::milliseconds(100);
+constexpr unsigned maxBackOffDoublings = 5; ///< Limit of the pause.
+constexpr double retryAfterJitter = 0.1; ///< Maximum random extension of `Retry-After`, as a share.
 
-auto nanoseconds(double seconds) -> std::chrono::nanoseconds
+auto toNanoseconds(double seconds) -> std::chrono::nanoseconds
 {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
             std::chrono::duration<double>(seconds));
 }
 
-auto milliseconds(Clock::duration duration) -> double
+auto toMilliseconds(Clock::duration duration) -> double
 {
     return std::chrono::duration<double, std::milli>(duration).count();
 }
@@ -33,7 +34,7 @@
 RequestLoad::RequestLoad(asio::io_context &loop, LoadOptions options, std::uint64_t seed)
     : loop(loop), options(std::move(options)), random(seed), uuids(this->random()),
       pool(loop, parseEndpoint(this->options.address), this->options.source, this->options.reuse),
-      timer(loop), sweepTimer(loop), nextDue(Clock::now())
+      timer(loop), poolCleanupTimer(loop), nextDue(Clock::now())
 {
     std::uniform_int_distribution<int> letter('a', 'z');
     this->filler.resize(this->options.bodyBytes);
@@ -41,21 +42,21 @@
         each = static_cast<char>(letter(this->random));
     }
     this->tokens.resize(this->options.flows);
-    this->scheduleNext();
-    this->scheduleSweep();
+    this->scheduleNextRequest();
+    this->schedulePoolCleanup();
 }
 
 auto RequestLoad::stop() -> void
 {
     this->stopped = true;
     this->timer.cancel();
-    this->finish();
+    this->notifyIfDone();
 }
 
 auto RequestLoad::wait(std::function<void()> done) -> void
 {
     this->waiters.push_back(std::move(done));
-    this->finish();
+    this->notifyIfDone();
 }
 
 auto RequestLoad::report() const -> Json
@@ -64,7 +65,7 @@
     report["pending"] = this->pending;
     std::map<std::string, std::uint64_t> keys;
     for (const CallRecord &record : this->records) {
-        ++keys[toString(record.overall())];
+        ++keys[toString(record.overallVerdict())];
     }
     report["keys"] = keys;
     return report;
@@ -79,46 +80,46 @@
     return list;
 }
 
-auto RequestLoad::scheduleNext() -> void
+auto RequestLoad::scheduleNextRequest() -> void
 {
-    if (this->isSendingOver()) {
+    if (this->isSendingDone()) {
         return;
     }
     this->timer.expires_at(this->nextDue);
     this->timer.async_wait([this](ErrorCode error) {
         if (!error) {
-            this->sendDue();
-            this->scheduleNext();
+            this->sendDueRequests();
+            this->scheduleNextRequest();
         }
     });
 }
 
-auto RequestLoad::scheduleSweep() -> void
+auto RequestLoad::schedulePoolCleanup() -> void
 {
-    this->sweepTimer.expires_after(sweepPeriod);
-    this->sweepTimer.async_wait([this](ErrorCode error) {
+    this->poolCleanupTimer.expires_after(poolCleanupPeriod);
+    this->poolCleanupTimer.async_wait([this](ErrorCode error) {
         if (!error) {
-            this->pool.sweep();
-            this->scheduleSweep();
+            this->pool.dropUnusable();
+            this->schedulePoolCleanup();
         }
     });
 }
 
-auto RequestLoad::sendDue() -> void
+auto RequestLoad::sendDueRequests() -> void
 {
     const auto now = Clock::now();
-    while (!this->isSendingOver() && this->nextDue <= now) {
-        this->sendNew();
-        this->nextDue += this->gap();
+    while (!this->isSendingDone() && this->nextDue <= now) {
+        this->sendNewRequest();
+        this->nextDue += this->nextInterval();
     }
 }
 
-auto RequestLoad::sendNew() -> void
+auto RequestLoad::sendNewRequest() -> void
 {
     const CallPtr call = this->makeCall();
     ++this->counts.sent;
     ++this->pending;
-    this->attempt(call);
+    this->sendAttempt(call);
 }
 
 auto RequestLoad::makeCall() -> CallPtr
@@ -128,8 +129,8 @@
     const std::string zone = this->options.keyZone.empty() ? "" : this->options.keyZone + ".";
     auto call = std::make_shared<Call>();
     call->due = this->nextDue;
-    call->record = this->records.size();
-    call->flow = this->tokens.empty() ? 0 : call->record % this->tokens.size();
+    call->recordIndex = this->records.size();
+    call->flow = this->tokens.empty() ? 0 : call->recordIndex % this->tokens.size();
     call->request.host = this->options.host;
     call->request.path = "/" + this->options.name + "/" + uuid;
     call->request.key = keyed ? zone + uuid : "";
@@ -139,8 +140,9 @@
     call->request.method = !this->options.idempotent    ? "POST"
                            : call->request.body.empty() ? "GET"
                                                         : "PUT";
-    // A request that must not be sent twice can't go on a connection that may have been closed.
-    call->freshConnection = !this->isRepeatSafe(*call);
+    // On a reused connection that the peer has closed, it is unknown whether the request was run,
+    // so a request that must not be repeated gets a new connection.
+    call->needsNewConnection = !this->isSafeToRepeat(*call);
     this->records.push_back({ call->request.key, call->request.path });
     return call;
 }
@@ -152,42 +154,42 @@
     return body;
 }
 
-auto RequestLoad::attempt(const CallPtr &call) -> void
+auto RequestLoad::sendAttempt(const CallPtr &call) -> void
 {
     ++this->counts.attempts;
-    ++this->records[call->record].attempts;
+    ++this->records[call->recordIndex].attempts;
     if (!this->tokens.empty()) {
         call->request.token = this->tokens[call->flow];
     }
-    const auto connection = call->freshConnection ? this->pool.makeNew() : this->pool.take();
-    connection->send(call->request.toBytes(), nanoseconds(this->options.timeoutMs / 1000),
+    const auto connection = call->needsNewConnection ? this->pool.create() : this->pool.acquire();
+    connection->send(call->request.toBytes(), toNanoseconds(this->options.timeoutMs / 1000),
                      [this, call, connection](const AttemptResult &result) {
-                         this->pool.giveBack(connection);
-                         this->takeResult(call, result);
+                         this->pool.release(connection);
+                         this->handleResult(call, result);
                      });
 }
 
-auto RequestLoad::takeResult(const CallPtr &call, const AttemptResult &result) -> void
+auto RequestLoad::handleResult(const CallPtr &call, const AttemptResult &result) -> void
 {
     if (result.error) {
-        this->takeFailure(call, result);
+        this->handleFailure(call, result);
         return;
     }
     if (!this->tokens.empty() && !result.head.token.empty()) {
         this->tokens[call->flow] = result.head.token;
     }
-    CallRecord &record = this->records[call->record];
-    record.last = result.head.verdict;
-    record.notRun += result.head.verdict == Verdict::NotRun ? 1 : 0;
-    record.sawRun = record.sawRun || result.head.verdict == Verdict::Run;
+    CallRecord &record = this->records[call->recordIndex];
+    record.lastVerdict = result.head.verdict;
+    record.notRunAttempts += result.head.verdict == Verdict::NotRun ? 1 : 0;
+    record.anyAttemptRun = record.anyAttemptRun || result.head.verdict == Verdict::Run;
     if (result.head.isOk()) {
-        this->takeAnswer(call, result);
+        this->handleAnswer(call, result);
         return;
     }
-    this->takeRefusal(call, result);
+    this->handleRefusal(call, result);
 }
 
-auto RequestLoad::takeAnswer(const CallPtr &call, const AttemptResult &result) -> void
+auto RequestLoad::handleAnswer(const CallPtr &call, const AttemptResult &result) -> void
 {
     const ExpectedAnswer expected { call->request.key, call->request.path, call->bodyHash,
                                     this->options.service };
@@ -196,10 +198,10 @@
     case AnswerFault::Incomplete:
         ++this->counts.incompleteAnswers;
         break;
-    case AnswerFault::Crossed:
+    case AnswerFault::WrongRequest:
         ++this->counts.crossed;
         break;
-    case AnswerFault::Misdelivered:
+    case AnswerFault::WrongService:
         ++this->counts.misdelivered;
         break;
     case AnswerFault::None:
@@ -208,15 +210,15 @@
         }
         ++this->counts.answered;
         ++this->counts.byUpstream[checked.upstream];
-        this->counts.latencyMs.add(milliseconds(Clock::now() - call->due));
-        this->records[call->record].answered = true;
+        this->counts.latencyMs.add(toMilliseconds(Clock::now() - call->due));
+        this->records[call->recordIndex].answered = true;
         break;
     }
     --this->pending;
-    this->finish();
+    this->notifyIfDone();
 }
 
-auto RequestLoad::takeRefusal(const CallPtr &call, const AttemptResult &result) -> void
+auto RequestLoad::handleRefusal(const CallPtr &call, const AttemptResult &result) -> void
 {
     const AnswerHead &head = result.head;
     const std::string reason =
@@ -227,57 +229,57 @@
     if (staleToken) {
         this->tokens[call->flow].clear();
     }
-    if (this->mayRepeat(*call) && head.verdict != Verdict::Run) {
+    if (this->mayRetry(*call) && head.verdict != Verdict::Run) {
         const bool wasNotRun = head.verdict == Verdict::NotRun
                                || (head.verdict == Verdict::None && head.status == 503);
         const double jitter = std::uniform_real_distribution<>(0, retryAfterJitter)(this->random);
-        if (head.retryAfterS && (wasNotRun || this->isRepeatSafe(*call))) {
-            this->attemptAgain(call, nanoseconds(*head.retryAfterS * (1 + jitter)));
+        if (head.retryAfterS && (wasNotRun || this->isSafeToRepeat(*call))) {
+            this->scheduleRetry(call, toNanoseconds(*head.retryAfterS * (1 + jitter)));
             return;
         }
-        if (staleToken || (!wasNotRun && this->isRepeatSafe(*call))) {
-            this->attemptAgain(call, this->backOff(*call));
+        if (staleToken || (!wasNotRun && this->isSafeToRepeat(*call))) {
+            this->scheduleRetry(call, this->nextBackOff(*call));
             return;
         }
     }
     ++this->counts.refused[reason][verdict];
     ++this->counts.refusedTotal;
     --this->pending;
-    this->finish();
+    this->notifyIfDone();
 }
 
-auto RequestLoad::takeFailure(const CallPtr &call, const AttemptResult &result) -> void
+auto RequestLoad::handleFailure(const CallPtr &call, const AttemptResult &result) -> void
 {
-    this->records[call->record].last = Verdict::None;
+    this->records[call->recordIndex].lastVerdict = Verdict::None;
     if (result.staleConnection) {
         ++this->counts.staleConnections;
-        call->freshConnection = true;
-        this->attemptAgain(call, std::chrono::nanoseconds(0));
+        call->needsNewConnection = true;
+        this->scheduleRetry(call, std::chrono::nanoseconds(0));
         return;
     }
     ++(result.timedOut ? this->counts.timeouts : this->counts.broken);
-    if (this->mayRepeat(*call) && this->isRepeatSafe(*call)) {
-        this->attemptAgain(call, this->backOff(*call));
+    if (this->mayRetry(*call) && this->isSafeToRepeat(*call)) {
+        this->scheduleRetry(call, this->nextBackOff(*call));
         return;
     }
     ++this->counts.unanswered;
     --this->pending;
-    this->finish();
+    this->notifyIfDone();
 }
 
-auto RequestLoad::attemptAgain(const CallPtr &call, std::chrono::nanoseconds pause) -> void
+auto RequestLoad::scheduleRetry(const CallPtr &call, std::chrono::nanoseconds pause) -> void
 {
     const auto timer = std::make_shared<asio::steady_timer>(this->loop, pause);
     timer->async_wait([this, timer, call](ErrorCode error) {
         if (!error) {
-            this->attempt(call);
+            this->sendAttempt(call);
         }
     });
 }
 
-auto RequestLoad::finish() -> void
+auto RequestLoad::notifyIfDone() -> void
 {
-    if (!this->isSendingOver() || this->pending > 0) {
+    if (!this->isSendingDone() || this->pending > 0) {
         return;
     }
     for (const auto &waiter : std::exchange(this->waiters, {})) {
@@ -285,38 +287,38 @@
     }
 }
 
-auto RequestLoad::mayRepeat(const Call &call) const -> bool
+auto RequestLoad::mayRetry(const Call &call) const -> bool
 {
-    return this->options.retries && this->records[call.record].attempts < this->options.tries;
+    return this->options.retries && this->records[call.recordIndex].attempts < this->options.tries;
 }
 
-/// Returns whether the request may be sent again when an earlier attempt may have run.
-auto RequestLoad::isRepeatSafe(const Call &call) const -> bool
+/// Returns whether the request may be sent again although an earlier attempt may have been run.
+auto RequestLoad::isSafeToRepeat(const Call &call) const -> bool
 {
     return this->options.idempotent || !call.request.key.empty();
 }
 
-auto RequestLoad::backOff(Call &call) -> std::chrono::nanoseconds
+auto RequestLoad::nextBackOff(Call &call) -> std::chrono::nanoseconds
 {
-    const unsigned doublings = std::min(call.failures, backOffDoublings);
+    const unsigned doublings = std::min(call.failures, maxBackOffDoublings);
     ++call.failures;
     const double factor = std::uniform_real_distribution<>(1, 2)(this->random);
-    return std::chrono::duration_cast<std::chrono::nanoseconds>(firstBackOff * factor
+    return std::chrono::duration_cast<std::chrono::nanoseconds>(initialBackOff * factor
                                                                 * (1U << doublings));
 }
 
-auto RequestLoad::gap() -> std::chrono::nanoseconds
+auto RequestLoad::nextInterval() -> std::chrono::nanoseconds
 {
     if (this->options.rate <= 0) {
         return std::chrono::nanoseconds(0);
     }
     if (this->options.poisson) {
-        return nanoseconds(std::exponential_distribution<>(this->options.rate)(this->random));
+        return toNanoseconds(std::exponential_distribution<>(this->options.rate)(this->random));
     }
-    return nanoseconds(1 / this->options.rate);
+    return toNanoseconds(1 / this->options.rate);
 }
 
-auto RequestLoad::isSendingOver() const -> bool
+auto RequestLoad::isSendingDone() const -> bool
 {
     return this->stopped || (this->options.count > 0 && this->counts.sent >= this->options.count);
 }
--- a/tests/standins/caller/requestload.h
+++ b/tests/standins/caller/requestload.h
@@ -1,4 +1,4 @@
-/// A load of requests or uploads.
+/// A load generator that sends requests or uploads.
 #pragma once
 
 #include "standins/caller/answercheck.h"
@@ -21,72 +21,73 @@
 
 namespace standins {
 
-/// Sends requests at a rate, whether or not earlier ones are answered, and repeats what may be
-/// repeated.
+/// Sends requests at a given rate, independently of the answers to earlier ones (open loop), and
+/// retries requests for which that is safe.
 /// @remarks Not thread safe.
 class RequestLoad
 {
 public:
     RequestLoad(asio::io_context &loop, LoadOptions options, std::uint64_t seed);
 
-    /// Sends nothing new; what is under way goes on.
+    /// Sends no new requests; requests in progress continue, including their retries.
     auto stop() -> void;
-    /// Calls `done` when all requests are sent and have their outcome.
+    /// Calls `done` once all requests have been sent, or the load is stopped, and every request
+    /// sent has its outcome.
     auto wait(std::function<void()> done) -> void;
-    /// Returns the counters.
+    /// Returns the counters, the number of pending requests, and the requests by overall verdict.
     [[nodiscard]] auto report() const -> Json;
-    /// Returns the verdict of each request.
+    /// Returns the verdicts of each request.
     [[nodiscard]] auto verdicts() const -> Json;
 
 private:
-    using Time = std::chrono::steady_clock::time_point;
+    using TimePoint = std::chrono::steady_clock::time_point;
 
-    /// One request, with all its attempts.
+    /// One request and the state of its attempts.
     struct Call
     {
-        std::size_t record = 0; ///< Index in `records`.
+        std::size_t recordIndex = 0; ///< Index in `records`.
         CallRequest request;
         std::string bodyHash;
         std::size_t flow = 0;
-        Time due;
-        bool freshConnection = false;
-        unsigned failures = 0;
+        TimePoint due;                   ///< Scheduled send time, from which the latency counts.
+        bool needsNewConnection = false; ///< Whether a new connection must be used.
+        unsigned failures = 0;           ///< Number of retries with exponential back-off.
 
         Call() = default;
     };
     using CallPtr = std::shared_ptr<Call>;
 
-    auto scheduleNext() -> void;
-    auto scheduleSweep() -> void;
-    auto sendDue() -> void;
-    auto sendNew() -> void;
-    auto attempt(const CallPtr &call) -> void;
-    auto takeResult(const CallPtr &call, const AttemptResult &result) -> void;
-    auto takeAnswer(const CallPtr &call, const AttemptResult &result) -> void;
-    auto takeRefusal(const CallPtr &call, const AttemptResult &result) -> void;
-    auto takeFailure(const CallPtr &call, const AttemptResult &result) -> void;
-    auto attemptAgain(const CallPtr &call, std::chrono::nanoseconds pause) -> void;
-    auto finish() -> void;
+    auto scheduleNextRequest() -> void;
+    auto schedulePoolCleanup() -> void;
+    auto sendDueRequests() -> void;
+    auto sendNewRequest() -> void;
+    auto sendAttempt(const CallPtr &call) -> void;
+    auto handleResult(const CallPtr &call, const AttemptResult &result) -> void;
+    auto handleAnswer(const CallPtr &call, const AttemptResult &result) -> void;
+    auto handleRefusal(const CallPtr &call, const AttemptResult &result) -> void;
+    auto handleFailure(const CallPtr &call, const AttemptResult &result) -> void;
+    auto scheduleRetry(const CallPtr &call, std::chrono::nanoseconds pause) -> void;
+    auto notifyIfDone() -> void;
     [[nodiscard]] auto makeCall() -> CallPtr;
     [[nodiscard]] auto makeBody(const std::string &start) const -> std::string;
-    [[nodiscard]] auto mayRepeat(const Call &call) const -> bool;
-    [[nodiscard]] auto isRepeatSafe(const Call &call) const -> bool;
-    [[nodiscard]] auto backOff(Call &call) -> std::chrono::nanoseconds;
-    [[nodiscard]] auto gap() -> std::chrono::nanoseconds;
-    [[nodiscard]] auto isSendingOver() const -> bool;
+    [[nodiscard]] auto mayRetry(const Call &call) const -> bool;
+    [[nodiscard]] auto isSafeToRepeat(const Call &call) const -> bool;
+    [[nodiscard]] auto nextBackOff(Call &call) -> std::chrono::nanoseconds;
+    [[nodiscard]] auto nextInterval() -> std::chrono::nanoseconds;
+    [[nodiscard]] auto isSendingDone() const -> bool;
 
     asio::io_context &loop;
     LoadOptions options;
     std::mt19937_64 random;
-    UuidMaker uuids;
+    UuidGenerator uuids;
     ConnectionPool pool;
     asio::steady_timer timer;
-    asio::steady_timer sweepTimer;
-    Time nextDue;
+    asio::steady_timer poolCleanupTimer;
+    TimePoint nextDue;
     bool stopped = false;
     std::uint64_t pending = 0;
-    std::string filler;              ///< The body's bytes after the request's own name.
-    std::vector<std::string> tokens; ///< By flow.
+    std::string filler; ///< Body template; its start is overwritten with the request's UUID.
+    std::vector<std::string> tokens; ///< Current flow token of each flow.
     std::vector<CallRecord> records;
     std::vector<std::function<void()>> waiters;
     RequestCounts counts;
--- a/tests/standins/caller/uuid.cpp
+++ b/tests/standins/caller/uuid.cpp
@@ -7,7 +7,7 @@
 
 namespace standins {
 
-auto UuidMaker::next() -> std::string
+auto UuidGenerator::next() -> std::string
 {
     const auto time = static_cast<std::uint64_t>(wallMillis());
     const std::uint64_t high = this->random();
--- a/tests/standins/caller/uuid.h
+++ b/tests/standins/caller/uuid.h
@@ -1,4 +1,4 @@
-/// Idempotency keys.
+/// UUIDs for idempotency keys.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,14 @@
 
 namespace standins {
 
-/// Makes UUIDv7 texts (RFC 9562) from a seed and the wall clock.
+/// Generates UUIDv7 strings (RFC 9562) from the wall clock and a seeded random generator.
 /// @remarks Not thread safe.
-class UuidMaker
+class UuidGenerator
 {
 public:
-    explicit UuidMaker(std::uint64_t seed) : random(seed) {}
+    explicit UuidGenerator(std::uint64_t seed) : random(seed) {}
 
-    /// Returns a new UUIDv7.
+    /// Returns a new UUIDv7 in its canonical text form.
     [[nodiscard]] auto next() -> std::string;
 
 private:
--- a/tests/standins/caller/verdict.h
+++ b/tests/standins/caller/verdict.h
@@ -1,4 +1,4 @@
-/// What an answer says of whether its request was run.
+/// The verdict of an answer: whether the request was run by an upstream.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace standins {
 
-/// A verdict as the header carries it; `None` for no answer or no verdict.
+/// The value of the `Flamingograde-Verdict` header; `None` if there is no answer or no such header.
 enum class Verdict {
     None,
     Run,
@@ -14,8 +14,8 @@
     Unknown,
 };
 
-/// Returns the verdict whose word is `word`.
-[[nodiscard]] inline auto verdictOf(std::string_view word) -> Verdict
+/// Parses a header value. Returns `None` if `word` is not a known verdict.
+[[nodiscard]] inline auto parseVerdict(std::string_view word) -> Verdict
 {
     if (word == "run") {
         return Verdict::Run;
@@ -26,7 +26,7 @@
     return word == "unknown" ? Verdict::Unknown : Verdict::None;
 }
 
-/// Returns the word of `verdict`.
+/// Returns the header value for `verdict`, or `none` for `Verdict::None`.
 [[nodiscard]] inline auto toString(Verdict verdict) -> std::string
 {
     switch (verdict) {
--- a/tests/standins/upstream/faults.cpp
+++ b/tests/standins/upstream/faults.cpp
@@ -7,9 +7,9 @@
                                            { HealthMode::Draining, "draining" },
                                            { HealthMode::Lie, "lie" } })
 
-NLOHMANN_JSON_SERIALIZE_ENUM(CutAnswers, { { CutAnswers::None, "none" },
-                                           { CutAnswers::Head, "head" },
-                                           { CutAnswers::Middle, "middle" } })
+NLOHMANN_JSON_SERIALIZE_ENUM(CutPoint, { { CutPoint::None, "none" },
+                                         { CutPoint::Head, "head" },
+                                         { CutPoint::Middle, "middle" } })
 
 auto Faults::update(const Json &json) -> void
 {
@@ -19,8 +19,9 @@
     this->cutAnswers = json.value("cut_answers", this->cutAnswers);
     this->health = json.value("health", this->health);
     if (json.contains("load")) {
-        const Json &told = json.at("load");
-        this->load = told.is_null() ? std::nullopt : std::optional<double>(told.get<double>());
+        const Json &reportedLoad = json.at("load");
+        this->load = reportedLoad.is_null() ? std::nullopt
+                                            : std::optional<double>(reportedLoad.get<double>());
     }
 }
 
--- a/tests/standins/upstream/faults.h
+++ b/tests/standins/upstream/faults.h
@@ -1,4 +1,4 @@
-/// How an upstream misbehaves.
+/// The faults that an upstream stand-in can simulate.
 #pragma once
 
 #include "standins/common/asio.h"
@@ -8,32 +8,32 @@
 
 namespace standins {
 
-/// What the health endpoint says.
+/// What the endpoint `/healthz` answers.
 enum class HealthMode {
-    Ok,       ///< The truth.
-    Cold,     ///< 503 and `cold`.
-    Draining, ///< 503 and `draining`.
-    Lie,      ///< 200, `ok` and no load, whatever is the case.
+    Ok,       ///< The actual state.
+    Cold,     ///< Status 503 and `cold`.
+    Draining, ///< Status 503 and `draining`.
+    Lie,      ///< Status 200, `ok` and a load of 0, regardless of the actual state.
 };
 
-/// Where an answer breaks off.
-enum class CutAnswers {
+/// Where an answer is cut off before the connection is closed.
+enum class CutPoint {
     None,
-    Head,   ///< Within the head.
-    Middle, ///< Within the body.
+    Head,   ///< In the middle of the head.
+    Middle, ///< In the middle of the body.
 };
 
-/// The faults that `set` turns on and off.
+/// The faults that the command `set` switches on and off.
 struct Faults
 {
-    bool shed = false;          ///< Refuse every request.
-    bool freezeAnswers = false; ///< Hold back the answers of requests.
-    bool silent = false;        ///< Hold back everything.
-    CutAnswers cutAnswers = CutAnswers::None;
+    bool shed = false;          ///< Answers all requests except feeds and `/healthz` with 503.
+    bool freezeAnswers = false; ///< Holds back answers of requests that were run.
+    bool silent = false;        ///< Holds back all answers and feed events.
+    CutPoint cutAnswers = CutPoint::None; ///< Applies to answers of requests that were run.
     HealthMode health = HealthMode::Ok;
-    std::optional<double> load; ///< What the load endpoint says instead of the truth.
+    std::optional<double> load; ///< Load reported by `/healthz` instead of the actual one.
 
-    /// Changes the faults that `json` names. @throws std::exception on a wrong value.
+    /// Changes the faults given in `json`. @throws std::exception if a value is invalid.
     auto update(const Json &json) -> void;
 };
 
--- a/tests/standins/upstream/feedsource.cpp
+++ b/tests/standins/upstream/feedsource.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr std::uint64_t batchMax = 512; ///< Events in one write.
-constexpr std::size_t phases = 1000;    ///< Steps by which the first event's time differs.
+constexpr std::uint64_t maxEventsPerWrite = 512; ///< Maximum number of events per write.
+constexpr std::size_t startOffsets = 1000; ///< Number of possible time offsets of the first event.
 
-const std::string feedHead = "HTTP/1.1 200 OK\r\n"
-                             "Content-Type: text/event-stream\r\n"
-                             "Cache-Control: no-store\r\n"
-                             "Transfer-Encoding: chunked\r\n\r\n";
+const std::string responseHead = "HTTP/1.1 200 OK\r\n"
+                                 "Content-Type: text/event-stream\r\n"
+                                 "Cache-Control: no-store\r\n"
+                                 "Transfer-Encoding: chunked\r\n\r\n";
 const std::string lastChunk = "0\r\n\r\n";
 
 } // namespace
@@ -26,11 +26,12 @@
     : timer(loop), period(eventMs), name(std::move(name)), service(std::move(service))
 {
     if (eventMs > 0) {
-        // Upstreams of one process must not all write at the same moment.
-        const double share = static_cast<double>(std::hash<std::string>()(this->name) % phases)
-                             / static_cast<double>(phases);
+        // Spreads the event times so that the upstreams of one process do not all write at once.
+        const double startOffset =
+                static_cast<double>(std::hash<std::string>()(this->name) % startOffsets)
+                / static_cast<double>(startOffsets);
         this->timer.expires_after(
-                std::chrono::duration_cast<std::chrono::nanoseconds>(this->period * -share));
+                std::chrono::duration_cast<std::chrono::nanoseconds>(this->period * -startOffset));
         this->scheduleEvent();
     }
 }
@@ -40,17 +41,17 @@
 {
     auto stream = std::make_shared<FeedStream>();
     stream->connection = connection;
-    stream->sent = std::min(lastId.value_or(this->newest), this->newest);
+    stream->lastSent = std::min(lastId.value_or(this->newestEvent), this->newestEvent);
     this->streams.insert(stream);
     connection->onClosed([this, stream] { this->streams.erase(stream); });
-    this->write(stream, std::make_shared<const std::string>(feedHead));
+    this->write(stream, std::make_shared<const std::string>(responseHead));
 }
 
 auto FeedSource::setSilent(bool silent) -> void
 {
     this->silent = silent;
     for (const StreamPtr &stream : this->streams) {
-        this->writeMissing(stream);
+        this->writeBacklog(stream);
     }
 }
 
@@ -77,11 +78,12 @@
         if (error) {
             return;
         }
-        ++this->newest;
-        const auto chunk = std::make_shared<const std::string>(this->chunkOf(this->newest));
+        ++this->newestEvent;
+        const auto chunk =
+                std::make_shared<const std::string>(this->encodeChunk(this->newestEvent));
         for (const StreamPtr &stream : this->streams) {
-            if (!stream->writing && !this->silent && stream->sent + 1 == this->newest) {
-                stream->sent = this->newest;
+            if (!stream->writing && !this->silent && stream->lastSent + 1 == this->newestEvent) {
+                stream->lastSent = this->newestEvent;
                 this->write(stream, chunk);
             }
         }
@@ -94,25 +96,25 @@
     stream->writing = true;
     stream->connection->write(std::move(bytes), [this, stream] {
         stream->writing = false;
-        this->writeMissing(stream);
+        this->writeBacklog(stream);
     });
 }
 
-auto FeedSource::writeMissing(const StreamPtr &stream) -> void
+auto FeedSource::writeBacklog(const StreamPtr &stream) -> void
 {
-    if (stream->writing || this->silent || stream->sent >= this->newest) {
+    if (stream->writing || this->silent || stream->lastSent >= this->newestEvent) {
         return;
     }
-    const std::uint64_t last = std::min(this->newest, stream->sent + batchMax);
+    const std::uint64_t last = std::min(this->newestEvent, stream->lastSent + maxEventsPerWrite);
     std::string batch;
-    while (stream->sent < last) {
-        ++stream->sent;
-        batch += this->chunkOf(stream->sent);
+    while (stream->lastSent < last) {
+        ++stream->lastSent;
+        batch += this->encodeChunk(stream->lastSent);
     }
     this->write(stream, std::make_shared<const std::string>(std::move(batch)));
 }
 
-auto FeedSource::chunkOf(std::uint64_t event) const -> std::string
+auto FeedSource::encodeChunk(std::uint64_t event) const -> std::string
 {
     const std::string number = std::to_string(event);
     const std::string text = "id: " + number + "\ndata: {\"n\":" + number + ",\"upstream\":\""
--- a/tests/standins/upstream/feedstream.h
+++ b/tests/standins/upstream/feedstream.h
@@ -1,4 +1,4 @@
-/// One feed that an upstream holds open.
+/// A feed that is open at an upstream.
 #pragma once
 
 #include "standins/common/httpconnection.h"
@@ -7,12 +7,12 @@
 
 namespace standins {
 
-/// How far a feed is.
+/// The connection of a feed and its progress.
 struct FeedStream
 {
     HttpConnection::Ptr connection;
-    std::uint64_t sent = 0; ///< Number of the last event written.
-    bool writing = false;
+    std::uint64_t lastSent = 0; ///< Number of the last event passed to `write`.
+    bool writing = false;       ///< Whether a write is in progress.
 };
 
 } // namespace standins
--- a/tests/standins/upstream/job.h
+++ b/tests/standins/upstream/job.h
@@ -1,4 +1,4 @@
-/// One request at an upstream.
+/// A request being processed by an upstream.
 #pragma once
 
 #include "standins/common/httpconnection.h"
@@ -9,7 +9,7 @@
 
 namespace standins {
 
-/// A request that waits for a slot or runs.
+/// A request that is running or queued for a free slot.
 struct Job
 {
     Job(asio::io_context &loop, HttpConnection::Ptr connection, HttpRequest request)
@@ -18,9 +18,9 @@
 
     HttpConnection::Ptr connection;
     HttpRequest request;
-    asio::steady_timer timer; ///< Fires at the end of the service time.
-    std::string service;      ///< The upstream's when it began.
-    std::uint32_t times = 0;  ///< How often its key has run.
+    asio::steady_timer timer;    ///< Expires at the end of the service time.
+    std::string service;         ///< The upstream's service when the request started.
+    std::uint32_t runNumber = 0; ///< How often this request has been run, including this run.
     bool running = false;
 };
 
--- a/tests/standins/upstream/ledger.cpp
+++ b/tests/standins/upstream/ledger.cpp
@@ -7,61 +7,61 @@
 Ledger::Ledger(const std::string &file)
 {
     if (!file.empty()) {
-        this->load(file);
-        this->lines.open(file, std::ios::app);
+        this->loadFile(file);
+        this->output.open(file, std::ios::app);
     }
 }
 
 auto Ledger::record(const std::string &key, const std::string &path, const std::string &row,
                     const std::string &service) -> std::uint32_t
 {
-    if (this->lines.is_open()) {
-        this->lines << Json::array({ key, path, row, service }).dump() << std::endl;
+    if (this->output.is_open()) {
+        this->output << Json::array({ key, path, row, service }).dump() << std::endl;
     }
-    return this->count(key, path, row, service);
+    return this->countRun(key, path, row, service);
 }
 
-auto Ledger::load(const std::string &file) -> void
+auto Ledger::loadFile(const std::string &file) -> void
 {
     std::ifstream in(file);
     for (std::string line; std::getline(in, line);) {
         const Json run = Json::parse(line, nullptr, false);
         if (run.is_array()) {
-            this->count(run.at(0), run.at(1), run.at(2), run.at(3));
+            this->countRun(run.at(0), run.at(1), run.at(2), run.at(3));
         }
     }
 }
 
-auto Ledger::count(const std::string &key, const std::string &path, const std::string &row,
-                   const std::string &service) -> std::uint32_t
+auto Ledger::countRun(const std::string &key, const std::string &path, const std::string &row,
+                      const std::string &service) -> std::uint32_t
 {
-    const std::uint32_t timesOfPath = ++this->byPath[path];
+    const std::uint32_t pathRunCount = ++this->runCountByPath[path];
     if (key.empty()) {
-        return timesOfPath;
+        return pathRunCount;
     }
-    Run &run = this->byKey.try_emplace(key, Run { row, service, 0 }).first->second;
+    KeyRuns &run = this->runsByKey.try_emplace(key, KeyRuns { row, service, 0 }).first->second;
     ++run.times;
     if (run.times == 2) {
-        ++this->doubles;
+        ++this->doubleRunKeys;
     }
     return run.times;
 }
 
-auto Ledger::timesOf(const std::string &key) const -> std::uint32_t
+auto Ledger::runCount(const std::string &key) const -> std::uint32_t
 {
-    const auto run = this->byKey.find(key);
-    if (run != this->byKey.end()) {
+    const auto run = this->runsByKey.find(key);
+    if (run != this->runsByKey.end()) {
         return run->second.times;
     }
-    const auto path = this->byPath.find(key);
-    return path == this->byPath.end() ? 0 : path->second;
+    const auto path = this->runCountByPath.find(key);
+    return path == this->runCountByPath.end() ? 0 : path->second;
 }
 
-auto Ledger::runs(std::size_t limit) const -> Json
+auto Ledger::listRuns(std::size_t limit) const -> Json
 {
     Json list = Json::array();
     const auto append = [&](bool repeated) {
-        for (const auto &[key, run] : this->byKey) {
+        for (const auto &[key, run] : this->runsByKey) {
             if ((run.times > 1) == repeated && list.size() < limit) {
                 list.push_back({ { "key", key },
                                  { "row", run.row },
@@ -83,7 +83,7 @@
     for (const Json &entry : verdicts) {
         const std::string key = entry.value("key", "");
         const std::string name = key.empty() ? entry.value("path", "") : key;
-        const std::uint32_t times = this->timesOf(name);
+        const std::uint32_t times = this->runCount(name);
         if (entry.value("verdict", "") == "not-run" && times > 0) {
             wrongNotRun.push_back(name);
         }
--- a/tests/standins/upstream/main.cpp
+++ b/tests/standins/upstream/main.cpp
@@ -1,4 +1,4 @@
-/// The upstream stand-in: back ends that run requests, hold feeds and keep a ledger.
+/// The upstream stand-in: back ends that run requests, serve feeds and record each run in a ledger.
 #include "standins/common/program.h"
 #include "standins/upstream/upstreamprogram.h"
 
--- a/tests/standins/upstream/upstream.cpp
+++ b/tests/standins/upstream/upstream.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-constexpr double coldFactor = 4;       ///< Service time of a cold upstream, against a warm one.
-constexpr std::size_t lengthRoom = 24; ///< Bytes of the field `length` of an answer, at most.
+constexpr double coldFactor = 4; ///< Service time of a cold upstream relative to a warm one.
+constexpr std::size_t maxLengthFieldBytes = 24; ///< Upper bound of the size of the field `length`.
 
 auto headerOf(const HttpRequest &request, const char *name) -> std::string
 {
     return std::string(request[name]);
 }
 
-auto numberOf(const std::string &text) -> std::optional<std::int64_t>
+auto parseNumber(const std::string &text) -> std::optional<std::int64_t>
 {
     if (text.empty() || text.find_first_not_of("0123456789") != std::string::npos) {
         return std::nullopt;
@@ -33,7 +33,7 @@
 
 auto isExpired(const HttpRequest &request) -> bool
 {
-    const auto deadline = numberOf(headerOf(request, "Flamingograde-Deadline"));
+    const auto deadline = parseNumber(headerOf(request, "Flamingograde-Deadline"));
     return deadline && wallMillis() > *deadline;
 }
 
@@ -47,10 +47,10 @@
 
 Upstream::Upstream(asio::io_context &loop, const UpstreamOptions &options, Ledger &ledger)
     : loop(loop), options(options), ledger(ledger), random(options.seed),
-      started(std::chrono::steady_clock::now()),
+      startTime(std::chrono::steady_clock::now()),
       feeds(loop, options.name, options.service, options.eventMs),
       server(loop, options.listen, [this](const Connection &connection, HttpRequest request) {
-          this->handle(connection, std::move(request));
+          this->handleRequest(connection, std::move(request));
       })
 {}
 
@@ -65,7 +65,7 @@
         this->feeds.endAll();
     }
     this->feeds.setSilent(this->faults.silent);
-    this->releaseHeld();
+    this->runHeldActions();
 }
 
 auto Upstream::totals() const -> Totals
@@ -75,7 +75,7 @@
     return totals;
 }
 
-auto Upstream::handle(const Connection &connection, HttpRequest request) -> void
+auto Upstream::handleRequest(const Connection &connection, HttpRequest request) -> void
 {
     if (request.target() == "/healthz") {
         this->answerHealth(connection);
@@ -83,67 +83,67 @@
     }
     if (request[http::field::host] != this->options.service) {
         ++this->counters.misdirected;
-        this->refuse(connection, 421, "misdirected");
+        this->sendRefusal(connection, 421, "misdirected");
         return;
     }
     if (isFeed(request)) {
         this->openFeed(connection, request);
         return;
     }
-    this->takeJob(connection, std::move(request));
+    this->acceptJob(connection, std::move(request));
 }
 
 auto Upstream::answerHealth(const Connection &connection) -> void
 {
     ++this->counters.healthReads;
-    const bool lies = this->faults.health == HealthMode::Lie;
-    const bool cold = this->faults.health == HealthMode::Cold || this->coldness() > 0;
+    const bool fakesHealth = this->faults.health == HealthMode::Lie;
+    const bool cold = this->faults.health == HealthMode::Cold || this->coldFraction() > 0;
     const bool draining = this->faults.health == HealthMode::Draining;
-    const std::string status = lies ? "ok" : draining ? "draining" : cold ? "cold" : "ok";
-    const double load = lies ? 0 : this->load();
+    const std::string status = fakesHealth ? "ok" : draining ? "draining" : cold ? "cold" : "ok";
+    const double load = fakesHealth ? 0 : this->load();
     HttpAnswer answer;
     answer.status = status == "ok" ? 200 : 503;
     answer.headers = { { "Content-Type", "application/json" } };
     answer.body = Json({ { "status", status }, { "load", load } }).dump();
-    this->hold(false, [connection, answer] { connection->answer(answer); });
+    this->runOrHold(false, [connection, answer] { connection->answer(answer); });
 }
 
 auto Upstream::openFeed(const Connection &connection, const HttpRequest &request) -> void
 {
     if (this->feeds.size() >= this->options.connections) {
         ++this->counters.overConnections;
-        this->shed(connection, "connections");
+        this->sendOverload(connection, "connections");
         return;
     }
     ++this->counters.feedsOpened;
-    const auto lastId = numberOf(headerOf(request, "Last-Event-ID"));
-    this->hold(false, [this, connection, lastId] { this->feeds.open(connection, lastId); });
+    const auto lastId = parseNumber(headerOf(request, "Last-Event-ID"));
+    this->runOrHold(false, [this, connection, lastId] { this->feeds.open(connection, lastId); });
 }
 
-auto Upstream::takeJob(const Connection &connection, HttpRequest request) -> void
+auto Upstream::acceptJob(const Connection &connection, HttpRequest request) -> void
 {
-    const bool full = this->running >= this->options.slots;
-    this->counters.overSlots += full ? 1 : 0;
-    if (this->faults.shed || (full && this->waiting.size() >= this->options.queue)) {
+    const bool noSlotFree = this->running >= this->options.slots;
+    this->counters.overSlots += noSlotFree ? 1 : 0;
+    if (this->faults.shed || (noSlotFree && this->queuedJobs.size() >= this->options.queue)) {
         ++this->counters.shed;
-        this->shed(connection, "shed");
+        this->sendOverload(connection, "shed");
         return;
     }
     auto job = std::make_shared<Job>(this->loop, connection, std::move(request));
-    connection->onClosed([this, job] { this->cancel(job); });
-    if (full) {
-        this->waiting.push_back(job);
+    connection->onClosed([this, job] { this->cancelJob(job); });
+    if (noSlotFree) {
+        this->queuedJobs.push_back(job);
         return;
     }
-    this->begin(job);
+    this->startJob(job);
 }
 
-auto Upstream::begin(const JobPtr &job) -> void
+auto Upstream::startJob(const JobPtr &job) -> void
 {
     const HttpRequest &request = job->request;
     if (isExpired(request)) {
         ++this->counters.expired;
-        this->refuse(job->connection, 504, "expired");
+        this->sendRefusal(job->connection, 504, "expired");
         return;
     }
     job->running = true;
@@ -153,40 +153,40 @@
     this->counters.runningMax = std::max<std::uint64_t>(this->counters.runningMax, this->running);
     this->counters.uploads += request.body().empty() ? 0 : 1;
     this->counters.bodyBytes += request.body().size();
-    job->times =
+    job->runNumber =
             this->ledger.record(headerOf(request, "Idempotency-Key"), std::string(request.target()),
                                 headerOf(request, "Flamingograde-Row"), this->options.service);
     job->timer.expires_after(this->serviceTime());
     job->timer.async_wait([this, job](ErrorCode error) {
         if (!error && job->running) {
-            this->finish(job);
+            this->finishJob(job);
         }
     });
 }
 
-auto Upstream::beginNext() -> void
+auto Upstream::startQueuedJobs() -> void
 {
-    while (!this->waiting.empty() && this->running < this->options.slots) {
-        const JobPtr job = this->waiting.front();
-        this->waiting.pop_front();
-        this->begin(job);
+    while (!this->queuedJobs.empty() && this->running < this->options.slots) {
+        const JobPtr job = this->queuedJobs.front();
+        this->queuedJobs.pop_front();
+        this->startJob(job);
     }
 }
 
-auto Upstream::finish(const JobPtr &job) -> void
+auto Upstream::finishJob(const JobPtr &job) -> void
 {
     job->running = false;
     --this->running;
-    this->sendAnswer(job->connection, this->answerTo(*job));
-    this->beginNext();
+    this->sendAnswer(job->connection, this->makeAnswer(*job));
+    this->startQueuedJobs();
 }
 
-auto Upstream::cancel(const JobPtr &job) -> void
+auto Upstream::cancelJob(const JobPtr &job) -> void
 {
     ++this->counters.cancelled;
-    const auto place = std::find(this->waiting.begin(), this->waiting.end(), job);
-    if (place != this->waiting.end()) {
-        this->waiting.erase(place);
+    const auto position = std::find(this->queuedJobs.begin(), this->queuedJobs.end(), job);
+    if (position != this->queuedJobs.end()) {
+        this->queuedJobs.erase(position);
     }
     if (!job->running) {
         return;
@@ -194,44 +194,44 @@
     job->running = false;
     --this->running;
     job->timer.cancel();
-    this->beginNext();
+    this->startQueuedJobs();
 }
 
-auto Upstream::refuse(const Connection &connection, unsigned status, const std::string &reason)
+auto Upstream::sendRefusal(const Connection &connection, unsigned status, const std::string &reason)
         -> void
 {
     HttpAnswer answer;
     answer.status = status;
     answer.headers = { { "Content-Type", "application/json" } };
     answer.body = Json({ { "upstream", this->options.name }, { "reason", reason } }).dump();
-    this->hold(false, [connection, answer] { connection->answer(answer); });
+    this->runOrHold(false, [connection, answer] { connection->answer(answer); });
 }
 
-auto Upstream::shed(const Connection &connection, const std::string &reason) -> void
+auto Upstream::sendOverload(const Connection &connection, const std::string &reason) -> void
 {
     HttpAnswer answer;
     answer.status = 503;
     answer.headers = { { "Retry-After", std::to_string(this->options.retryAfter) },
                        { "Content-Type", "application/json" } };
     answer.body = Json({ { "upstream", this->options.name }, { "reason", reason } }).dump();
-    this->hold(false, [connection, answer] { connection->answer(answer); });
+    this->runOrHold(false, [connection, answer] { connection->answer(answer); });
 }
 
 auto Upstream::sendAnswer(const Connection &connection, const HttpAnswer &answer) -> void
 {
-    this->hold(true, [this, connection, answer] {
-        if (this->faults.cutAnswers == CutAnswers::None) {
+    this->runOrHold(true, [this, connection, answer] {
+        if (this->faults.cutAnswers == CutPoint::None) {
             connection->answer(answer);
             return;
         }
-        this->cutAnswer(connection, answer);
+        this->sendCutAnswer(connection, answer);
     });
 }
 
-auto Upstream::cutAnswer(const Connection &connection, const HttpAnswer &answer) -> void
+auto Upstream::sendCutAnswer(const Connection &connection, const HttpAnswer &answer) -> void
 {
     std::string bytes = headOf(answer);
-    if (this->faults.cutAnswers == CutAnswers::Head) {
+    if (this->faults.cutAnswers == CutPoint::Head) {
         bytes.resize(bytes.size() / 2);
     } else {
         bytes += answer.body.substr(0, answer.body.size() / 2);
@@ -241,23 +241,23 @@
                       [connection] { connection->close(); });
 }
 
-auto Upstream::hold(bool answersOnly, std::function<void()> action) -> void
+auto Upstream::runOrHold(bool isJobAnswer, std::function<void()> action) -> void
 {
     if (this->faults.silent) {
-        this->heldAll.push_back(std::move(action));
+        this->heldActions.push_back(std::move(action));
         return;
     }
-    if (answersOnly && this->faults.freezeAnswers) {
+    if (isJobAnswer && this->faults.freezeAnswers) {
         this->heldAnswers.push_back(std::move(action));
         return;
     }
     action();
 }
 
-auto Upstream::releaseHeld() -> void
+auto Upstream::runHeldActions() -> void
 {
     if (!this->faults.silent) {
-        for (const auto &action : std::exchange(this->heldAll, {})) {
+        for (const auto &action : std::exchange(this->heldActions, {})) {
             action();
         }
     }
@@ -268,7 +268,7 @@
     }
 }
 
-auto Upstream::answerTo(const Job &job) const -> HttpAnswer
+auto Upstream::makeAnswer(const Job &job) const -> HttpAnswer
 {
     const HttpRequest &request = job.request;
     Json body = { { "upstream", this->options.name },
@@ -277,8 +277,9 @@
                   { "key", headerOf(request, "Idempotency-Key") },
                   { "path", std::string(request.target()) },
                   { "body_hash", bodyHash(request.body()) },
-                  { "run", job.times } };
-    const std::size_t length = std::max(this->options.answerBytes, body.dump().size() + lengthRoom);
+                  { "run", job.runNumber } };
+    const std::size_t length =
+            std::max(this->options.answerBytes, body.dump().size() + maxLengthFieldBytes);
     body["length"] = length;
     HttpAnswer answer;
     answer.headers = { { "Content-Type", "application/json" } };
@@ -291,19 +292,19 @@
 {
     const double jitter = this->options.serviceJitter;
     std::uniform_real_distribution<double> factor(1 - jitter, 1 + jitter);
-    const double warm = this->options.serviceMs * factor(this->random);
-    const double ms = warm * (1 + (coldFactor - 1) * this->coldness());
+    const double warmMs = this->options.serviceMs * factor(this->random);
+    const double ms = warmMs * (1 + (coldFactor - 1) * this->coldFraction());
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
             std::chrono::duration<double, std::milli>(ms));
 }
 
-auto Upstream::coldness() const -> double
+auto Upstream::coldFraction() const -> double
 {
     if (this->options.coldMs <= 0) {
         return 0;
     }
     const std::chrono::duration<double, std::milli> age =
-            std::chrono::steady_clock::now() - this->started;
+            std::chrono::steady_clock::now() - this->startTime;
     return std::clamp(1 - age.count() / this->options.coldMs, 0.0, 1.0);
 }
 
--- a/tests/standins/upstream/upstream.h
+++ b/tests/standins/upstream/upstream.h
@@ -1,4 +1,4 @@
-/// A back end: runs requests in slots and holds feeds.
+/// A simulated back end that runs requests in a limited number of slots and serves feeds.
 #pragma once
 
 #include "standins/common/httpserver.h"
@@ -20,16 +20,17 @@
 
 class Ledger;
 
-/// One upstream of the process.
-/// @remarks Not thread safe. `ledger` outlives it.
+/// One of the upstreams of the process.
+/// @remarks Not thread safe. `ledger` must outlive it.
 class Upstream
 {
 public:
     Upstream(asio::io_context &loop, const UpstreamOptions &options, Ledger &ledger);
 
-    /// Changes faults, service time and service by the fields of the command `set`.
+    /// Changes faults, service time and service as given by the fields of the command `set`. A
+    /// change of the service ends every feed.
     auto set(const Json &json) -> void;
-    /// Ends every feed in order.
+    /// Ends every feed with the last chunk, as far as no write is in progress.
     auto endFeeds() -> void { this->feeds.endAll(); }
     [[nodiscard]] auto totals() const -> Totals;
     [[nodiscard]] auto address() const -> std::string { return this->server.address(); }
@@ -39,23 +40,24 @@
     using JobPtr = std::shared_ptr<Job>;
     using Connection = HttpConnection::Ptr;
 
-    auto handle(const Connection &connection, HttpRequest request) -> void;
+    auto handleRequest(const Connection &connection, HttpRequest request) -> void;
     auto answerHealth(const Connection &connection) -> void;
     auto openFeed(const Connection &connection, const HttpRequest &request) -> void;
-    auto takeJob(const Connection &connection, HttpRequest request) -> void;
-    auto begin(const JobPtr &job) -> void;
-    auto beginNext() -> void;
-    auto finish(const JobPtr &job) -> void;
-    auto cancel(const JobPtr &job) -> void;
-    auto refuse(const Connection &connection, unsigned status, const std::string &reason) -> void;
-    auto shed(const Connection &connection, const std::string &reason) -> void;
+    auto acceptJob(const Connection &connection, HttpRequest request) -> void;
+    auto startJob(const JobPtr &job) -> void;
+    auto startQueuedJobs() -> void;
+    auto finishJob(const JobPtr &job) -> void;
+    auto cancelJob(const JobPtr &job) -> void;
+    auto sendRefusal(const Connection &connection, unsigned status, const std::string &reason)
+            -> void;
+    auto sendOverload(const Connection &connection, const std::string &reason) -> void;
     auto sendAnswer(const Connection &connection, const HttpAnswer &answer) -> void;
-    auto cutAnswer(const Connection &connection, const HttpAnswer &answer) -> void;
-    auto hold(bool answersOnly, std::function<void()> action) -> void;
-    auto releaseHeld() -> void;
-    [[nodiscard]] auto answerTo(const Job &job) const -> HttpAnswer;
+    auto sendCutAnswer(const Connection &connection, const HttpAnswer &answer) -> void;
+    auto runOrHold(bool isJobAnswer, std::function<void()> action) -> void;
+    auto runHeldActions() -> void;
+    [[nodiscard]] auto makeAnswer(const Job &job) const -> HttpAnswer;
     [[nodiscard]] auto serviceTime() -> std::chrono::nanoseconds;
-    [[nodiscard]] auto coldness() const -> double;
+    [[nodiscard]] auto coldFraction() const -> double;
     [[nodiscard]] auto load() const -> double;
 
     asio::io_context &loop;
@@ -64,11 +66,11 @@
     Faults faults;
     Totals counters;
     std::mt19937_64 random;
-    std::chrono::steady_clock::time_point started;
+    std::chrono::steady_clock::time_point startTime;
     std::size_t running = 0;
-    std::deque<JobPtr> waiting;
-    std::vector<std::function<void()>> heldAnswers; ///< While answers are frozen.
-    std::vector<std::function<void()>> heldAll;     ///< While silent.
+    std::deque<JobPtr> queuedJobs;
+    std::vector<std::function<void()>> heldAnswers; ///< Deferred by the fault `freeze_answers`.
+    std::vector<std::function<void()>> heldActions; ///< Deferred by the fault `silent`.
     FeedSource feeds;
     HttpServer server;
 };
--- a/tests/standins/upstream/upstreamprogram.cpp
+++ b/tests/standins/upstream/upstreamprogram.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t runsListed = 1000; ///< Unless the command `ledger` gives a `limit`.
+constexpr std::size_t defaultRunLimit = 1000; ///< Used if the command `ledger` has no `limit`.
 
 } // namespace
 
@@ -24,14 +24,14 @@
     }
     control.on("set", [this](const Json &command) { return this->set(command); });
     control.on("end_feeds", [this](const Json &command) {
-        for (Upstream *upstream : this->selected(command)) {
+        for (Upstream *upstream : this->selectUpstreams(command)) {
             upstream->endFeeds();
         }
         return Json::object();
     });
     control.on("ledger", [this](const Json &command) { return this->report(command); });
     control.on("ledger_of", [this](const Json &command) -> Json {
-        return { { "times", this->ledger.timesOf(command.at("key").get<std::string>()) } };
+        return { { "times", this->ledger.runCount(command.at("key").get<std::string>()) } };
     });
     control.on("ledger_check",
                [this](const Json &command) { return this->ledger.check(command.at("verdicts")); });
@@ -49,7 +49,7 @@
 
 auto UpstreamProgram::set(const Json &command) -> Json
 {
-    for (Upstream *upstream : this->selected(command)) {
+    for (Upstream *upstream : this->selectUpstreams(command)) {
         upstream->set(command);
     }
     return Json::object();
@@ -59,19 +59,19 @@
 {
     Totals sum;
     Json byUpstream = Json::object();
-    for (const Upstream *upstream : this->selected(command)) {
+    for (const Upstream *upstream : this->selectUpstreams(command)) {
         const Totals totals = upstream->totals();
         byUpstream[upstream->name()] = totals.toJson();
         sum.add(totals);
     }
     Json totals = sum.toJson();
     totals["double_runs"] = this->ledger.doubleRuns();
-    return { { "runs", this->ledger.runs(command.value("limit", runsListed)) },
+    return { { "runs", this->ledger.listRuns(command.value("limit", defaultRunLimit)) },
              { "totals", std::move(totals) },
              { "by_upstream", std::move(byUpstream) } };
 }
 
-auto UpstreamProgram::selected(const Json &command) const -> std::vector<Upstream *>
+auto UpstreamProgram::selectUpstreams(const Json &command) const -> std::vector<Upstream *>
 {
     const std::string name = command.value("upstream", "");
     std::vector<Upstream *> list;
@@ -81,7 +81,7 @@
         }
     }
     if (list.empty()) {
-        throw std::invalid_argument("no upstream " + name);
+        throw std::invalid_argument("no such upstream: " + name);
     }
     return list;
 }
