--- a/src/net/admin.cpp
+++ b/src/net/admin.cpp
@@ -1,4 +1,4 @@
-/// What operators can ask a host.
+/// The HTTP admin interface of a host.
 #include "net/admin.h"
 
 #include <h2o.h>
@@ -15,7 +15,7 @@
 constexpr auto statusAccepted = 202;
 constexpr auto statusBadRequest = 400;
 constexpr auto statusNotFound = 404;
-constexpr auto statusBadMethod = 405;
+constexpr auto statusMethodNotAllowed = 405;
 constexpr auto statusUnavailable = 503;
 constexpr std::string_view json = "application/json";
 constexpr std::string_view plain = "text/plain; charset=utf-8";
@@ -25,7 +25,8 @@
     return status < statusBadRequest ? "OK" : "Refused";
 }
 
-auto answer(h2o_req_t *request, int status, std::string_view type, std::string_view body) -> void
+auto sendResponse(h2o_req_t *request, int status, std::string_view type, std::string_view body)
+        -> void
 {
     request->res.status = status;
     request->res.reason = reasonOf(status);
@@ -48,9 +49,9 @@
     constexpr auto hexBase = 16;
     std::string result;
     for (std::size_t index = 0; index < text.size(); ++index) {
-        const auto isCode = text[index] == '%' && index + 2 < text.size()
-                            && hexDigit(text[index + 1]) >= 0 && hexDigit(text[index + 2]) >= 0;
-        if (!isCode) {
+        const auto isEscape = text[index] == '%' && index + 2 < text.size()
+                              && hexDigit(text[index + 1]) >= 0 && hexDigit(text[index + 2]) >= 0;
+        if (!isEscape) {
             result += text[index];
             continue;
         }
@@ -61,7 +62,7 @@
     return result;
 }
 
-/// Returns a field of the query; empty for none.
+/// Returns the percent-decoded value of the query parameter `name`; empty if it is missing.
 auto queryField(std::string_view query, std::string_view name) -> std::string
 {
     while (!query.empty()) {
@@ -76,59 +77,59 @@
     return {};
 }
 
-auto answerExplain(h2o_req_t *request, const AdminSource &source, std::string_view query) -> void
+auto handleExplain(h2o_req_t *request, const AdminSource &source, std::string_view query) -> void
 {
     const auto address = Address::parse(queryField(query, "address"));
     if (!address) {
-        answer(request, statusBadRequest, plain, "address: " + address.error() + "\n");
+        sendResponse(request, statusBadRequest, plain, "address: " + address.error() + "\n");
         return;
     }
     const auto text =
             source.explain(*address, queryField(query, "token"), queryField(query, "key"));
-    answer(request, statusOk, json, text);
+    sendResponse(request, statusOk, json, text);
 }
 
-auto answerHealth(h2o_req_t *request, const AdminSource &source) -> void
+auto handleHealth(h2o_req_t *request, const AdminSource &source) -> void
 {
     if (source.isServing()) {
-        answer(request, statusOk, json, "{\"status\": \"ok\"}\n");
+        sendResponse(request, statusOk, json, "{\"status\": \"ok\"}\n");
     } else {
-        answer(request, statusUnavailable, json, "{\"status\": \"not serving\"}\n");
+        sendResponse(request, statusUnavailable, json, "{\"status\": \"not serving\"}\n");
     }
 }
 
-auto answerDrain(h2o_req_t *request, const AdminSource &source, std::string_view method) -> void
+auto handleDrain(h2o_req_t *request, const AdminSource &source, std::string_view method) -> void
 {
     if (method != "POST") {
-        answer(request, statusBadMethod, plain, "use POST\n");
+        sendResponse(request, statusMethodNotAllowed, plain, "method not allowed; use POST\n");
         return;
     }
     source.drain();
-    answer(request, statusAccepted, json, "{\"status\": \"stopping\"}\n");
+    sendResponse(request, statusAccepted, json, "{\"status\": \"stopping\"}\n");
 }
 
 } // namespace
 
-auto answerAdmin(st_h2o_req_t *request, const AdminSource &source) -> void
+auto handleAdminRequest(st_h2o_req_t *request, const AdminSource &source) -> void
 {
     const std::string_view target(request->input.path.base, request->input.path.len);
     const std::string_view method(request->input.method.base, request->input.method.len);
-    const auto mark = std::min(target.find('?'), target.size());
-    const auto path = target.substr(0, mark);
-    const auto query = target.substr(std::min(mark + 1, target.size()));
+    const auto queryMark = std::min(target.find('?'), target.size());
+    const auto path = target.substr(0, queryMark);
+    const auto query = target.substr(std::min(queryMark + 1, target.size()));
     if (path == "/metrics") {
-        answer(request, statusOk, "text/plain; version=0.0.4", source.metrics());
+        sendResponse(request, statusOk, "text/plain; version=0.0.4", source.metrics());
     } else if (path == "/dump") {
-        answer(request, statusOk, json, source.dump());
+        sendResponse(request, statusOk, json, source.dump());
     } else if (path == "/healthz") {
-        answerHealth(request, source);
+        handleHealth(request, source);
     } else if (path == "/explain") {
-        answerExplain(request, source, query);
+        handleExplain(request, source, query);
     } else if (path == "/drain") {
-        answerDrain(request, source, method);
+        handleDrain(request, source, method);
     } else {
-        answer(request, statusNotFound, plain,
-               "there are /metrics, /dump, /healthz, /explain and /drain\n");
+        sendResponse(request, statusNotFound, plain,
+                     "unknown path; available: /metrics, /dump, /healthz, /explain, /drain\n");
     }
 }
 
--- a/src/net/admin.h
+++ b/src/net/admin.h
@@ -1,4 +1,4 @@
-/// What operators can ask a host.
+/// The HTTP admin interface of a host.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -10,18 +10,18 @@
 
 namespace flamingograde::net {
 
-/// Where the answers to operators come from.
+/// Callbacks that supply the content of admin responses.
 struct AdminSource
 {
-    std::function<std::string()> metrics; ///< Prometheus text.
-    std::function<std::string()> dump;    ///< JSON.
-    std::function<bool()> isServing;      ///< It has a table and does not stop.
-    std::function<void()> drain;          ///< Begins an orderly stop.
+    std::function<std::string()> metrics; ///< Metrics in Prometheus text format.
+    std::function<std::string()> dump;    ///< Internal state as JSON.
+    std::function<bool()> isServing;      ///< Whether the host has a table and is not stopping.
+    std::function<void()> drain;          ///< Starts a graceful shutdown.
     std::function<std::string(Address, const std::string &token, const std::string &key)>
-            explain; ///< JSON.
+            explain; ///< Where such a request would go now, and why, as JSON.
 };
 
-/// Answers one request of an operator. Precondition: nothing of it was answered.
-auto answerAdmin(st_h2o_req_t *request, const AdminSource &source) -> void;
+/// Answers one admin request. Precondition: no part of the response has been sent.
+auto handleAdminRequest(st_h2o_req_t *request, const AdminSource &source) -> void;
 
 } // namespace flamingograde::net
--- a/src/net/answerhead.cpp
+++ b/src/net/answerhead.cpp
@@ -1,4 +1,4 @@
-/// Reading and making the heads of answers.
+/// Parsing and building of response heads.
 #include "net/answerhead.h"
 
 #include "net/headernames.h"
@@ -19,17 +19,17 @@
 constexpr auto statusUnavailable = 503;
 constexpr auto eventStream = "text/event-stream"sv;
 
-/// Headers that concern one connection, or that this host sets itself.
-constexpr std::array ownHeaders { "connection"sv, "keep-alive"sv, "proxy-authenticate"sv,
-                                  "te"sv,         "trailer"sv,    "transfer-encoding"sv,
-                                  "upgrade"sv,    "date"sv,       "server"sv };
+/// Headers that are not forwarded: hop-by-hop headers and those that this host sets itself.
+constexpr std::array unforwardedHeaders { "connection"sv, "keep-alive"sv, "proxy-authenticate"sv,
+                                          "te"sv,         "trailer"sv,    "transfer-encoding"sv,
+                                          "upgrade"sv,    "date"sv,       "server"sv };
 
 auto startsWith(std::string_view text, std::string_view start) -> bool
 {
     return text.substr(0, start.size()) == start;
 }
 
-/// Reads whole seconds; 0 for anything else.
+/// Parses a number of whole seconds; returns 0 if the text does not start with a valid one.
 auto readSeconds(std::string_view text) -> Duration
 {
     std::uint32_t seconds = 0;
@@ -45,16 +45,17 @@
     return text == toString(Verdict::Run) ? Verdict::Run : Verdict::Unknown;
 }
 
-auto isPassed(const HttpHead::Header &header, AnswerSource source) -> bool
+auto isForwarded(const HttpHead::Header &header, AnswerSource source) -> bool
 {
     const auto &[name, value] = header;
-    if (std::find(ownHeaders.begin(), ownHeaders.end(), name) != ownHeaders.end()) {
+    if (std::find(unforwardedHeaders.begin(), unforwardedHeaders.end(), name)
+        != unforwardedHeaders.end()) {
         return false;
     }
     if (name == "set-cookie" && startsWith(value, headers::tokenCookie)) {
-        return source == AnswerSource::Home; // The home knows which upstream answered.
+        return source == AnswerSource::Home; // Only the home host knows which upstream answered.
     }
-    return source == AnswerSource::Home || !startsWith(name, headers::ownPrefix);
+    return source == AnswerSource::Home || !startsWith(name, headers::headerPrefix);
 }
 
 auto isShed(const HttpHead &head) -> bool
@@ -85,13 +86,14 @@
     return startsWith(head.header("content-type"), eventStream);
 }
 
-auto passedHead(const HttpHead &head, AnswerSource source, const std::string &setToken) -> HttpHead
+auto forwardedHead(const HttpHead &head, AnswerSource source, const std::string &setToken)
+        -> HttpHead
 {
     HttpHead result;
     result.status = head.status;
     result.contentLength = head.contentLength;
     std::copy_if(head.headers.begin(), head.headers.end(), std::back_inserter(result.headers),
-                 [source](const auto &header) { return isPassed(header, source); });
+                 [source](const auto &header) { return isForwarded(header, source); });
     if (source == AnswerSource::Upstream) {
         const auto verdict = isShed(head) ? Verdict::NotRun : Verdict::Run;
         result.headers.emplace_back(headers::verdict, toString(verdict));
--- a/src/net/answerhead.h
+++ b/src/net/answerhead.h
@@ -1,4 +1,4 @@
-/// Reading and making the heads of answers.
+/// Parsing and building of response heads.
 #pragma once
 
 #include "net/httphead.h"
@@ -11,29 +11,29 @@
 
 namespace flamingograde::net {
 
-/// Who gave an answer.
+/// The sender of a response.
 enum class AnswerSource : std::uint8_t {
     Upstream,
-    Home, ///< The home host, for an upstream or by a refusal of its own.
+    Home, ///< The home host: relays an upstream's response or refuses the request itself.
 };
 
-/// Returns what the deciding library needs of an answer's head. Thread safe.
+/// Extracts the fields of a response head that the balancer library needs. Thread safe.
 [[nodiscard]] auto readAnswerHead(const HttpHead &head, AnswerSource source) -> AnswerHead;
 
-/// Returns whether the answer is a stream of events. Thread safe.
+/// Returns whether the response is a stream of server-sent events. Thread safe.
 [[nodiscard]] auto isEventStream(const HttpHead &head) -> bool;
 
-/// Returns the head as it is passed on: without what concerns one connection, and with the
-/// verdict.
-/// @param setToken the flow token to set; empty for none.
+/// Returns the head to forward to the caller: without hop-by-hop headers and, for an upstream's
+/// response, with the verdict header added.
+/// @param setToken the flow token to set as a cookie; empty for none.
 /// @remarks Thread safe.
-[[nodiscard]] auto passedHead(const HttpHead &head, AnswerSource source,
-                              const std::string &setToken) -> HttpHead;
+[[nodiscard]] auto forwardedHead(const HttpHead &head, AnswerSource source,
+                                 const std::string &setToken) -> HttpHead;
 
-/// Returns the head of a refusal. Thread safe.
+/// Returns the response head of a refusal. Thread safe.
 [[nodiscard]] auto refusalHead(const Refusal &refusal) -> HttpHead;
 
-/// Returns the body of a refusal. Thread safe.
+/// Returns the JSON response body of a refusal. Thread safe.
 [[nodiscard]] auto refusalBody(const Refusal &refusal) -> std::string;
 
 } // namespace flamingograde::net
--- a/src/net/calleranswer.cpp
+++ b/src/net/calleranswer.cpp
@@ -1,4 +1,4 @@
-/// Streaming of an answer through an h2o generator.
+/// Streaming of a response through an h2o generator.
 #include "net/calleranswer.h"
 
 #include <h2o.h>
@@ -10,7 +10,7 @@
 
 namespace flamingograde::net {
 
-/// What h2o's request holds: the generator, and a share of the answer.
+/// State in the memory pool of h2o's request: the generator and a reference to the answer.
 struct CallerAnswer::Link
 {
     h2o_generator_t generator {};
@@ -28,8 +28,8 @@
     return h2o_strdup(&request->pool, text.data(), text.size());
 }
 
-/// Makes the connection end at once and, where the end of the connection would be taken for the
-/// end of the answer (HTTP/1.0), by a reset.
+/// Shuts the connection down at once. Up to HTTP/1.0, where a regular close marks the end of the
+/// response, sets SO_LINGER instead, so that closing the socket resets the connection.
 auto cutConnection(int descriptor, int version) -> void
 {
     if (version >= http11Version) {
@@ -55,8 +55,8 @@
     return answer;
 }
 
-CallerAnswer::CallerAnswer(st_h2o_req_t *taken, Callbacks told)
-    : request(taken), callbacks(std::move(told))
+CallerAnswer::CallerAnswer(st_h2o_req_t *incoming, Callbacks handlers)
+    : request(incoming), callbacks(std::move(handlers))
 {}
 
 auto CallerAnswer::detach(void *memory) -> void
@@ -64,18 +64,18 @@
     auto *link = static_cast<Link *>(memory);
     const auto answer = std::move(link->answer);
     link->~Link();
-    answer->requestGone();
+    answer->requestDisposed();
 }
 
-auto CallerAnswer::requestGone() -> void
+auto CallerAnswer::requestDisposed() -> void
 {
     const auto whole = this->finalSent && !this->aborted;
     this->request = nullptr;
     this->link = nullptr;
     this->pending.clear();
-    const auto told = std::exchange(this->callbacks, {});
-    if (told.onGone) {
-        told.onGone(whole);
+    const auto handlers = std::exchange(this->callbacks, {});
+    if (handlers.onClosed) {
+        handlers.onClosed(whole);
     }
 }
 
@@ -148,7 +148,7 @@
 {
     const auto keep = this->shared_from_this();
     this->inFlight = false;
-    this->flight.clear();
+    this->sending.clear();
     if (this->pending.empty() && !this->ended && !this->aborted && this->callbacks.onDrained) {
         this->callbacks.onDrained();
     }
@@ -171,10 +171,10 @@
     }
     this->inFlight = true;
     this->finalSent = this->ended;
-    this->flight.swap(this->pending);
-    auto bytes = h2o_iovec_init(this->flight.data(), this->flight.size());
+    this->sending.swap(this->pending);
+    auto bytes = h2o_iovec_init(this->sending.data(), this->sending.size());
     const auto state = this->ended ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_IN_PROGRESS;
-    h2o_send(this->request, &bytes, this->flight.empty() ? 0 : 1, state);
+    h2o_send(this->request, &bytes, this->sending.empty() ? 0 : 1, state);
 }
 
 } // namespace flamingograde::net
--- a/src/net/calleranswer.h
+++ b/src/net/calleranswer.h
@@ -1,4 +1,4 @@
-/// The answer to one request that came in over HTTP.
+/// The response to one incoming HTTP request.
 #pragma once
 
 #include "net/httphead.h"
@@ -13,49 +13,51 @@
 
 namespace flamingograde::net {
 
-/// Streams an answer to a caller or relaying host, with backpressure.
+/// Streams a response to a caller or relaying host, with backpressure.
 ///
-/// Shared by its user and by h2o's request: it lives until both have let it go. Every method is
-/// without effect once the request is gone.
+/// Owned jointly by its user and by h2o's request; destroyed when both have released it. Once h2o
+/// has disposed of the request, the methods have no effect.
 /// @remarks Not thread safe.
 class CallerAnswer : public std::enable_shared_from_this<CallerAnswer>
 {
 public:
-    /// What the user is told.
+    /// Notifications to the user.
     struct Callbacks
     {
-        std::function<void(bool whole)> onGone; ///< The request ended; `whole`: answered wholly.
-        std::function<void()> onDrained;        ///< More can be written.
+        /// h2o disposed of the request; `whole` is true if the complete response was sent.
+        std::function<void(bool whole)> onClosed;
+        std::function<void()> onDrained; ///< All written bytes were sent; more can be written.
     };
 
-    /// Takes over the answering of `request`. Precondition: nothing of it was answered.
+    /// Attaches a response to `request`. Precondition: no part of a response has been sent.
     [[nodiscard]] static auto attach(st_h2o_req_t *request, Callbacks callbacks)
             -> std::shared_ptr<CallerAnswer>;
 
-    CallerAnswer(st_h2o_req_t *taken, Callbacks told);
+    CallerAnswer(st_h2o_req_t *incoming, Callbacks handlers);
 
-    /// Sets the answer's head, which leaves with the first `write` or `end`.
+    /// Sets the response head, which is sent together with the first `write` or `end`.
     /// Precondition: called once.
     auto start(const HttpHead &head) -> void;
 
-    /// Appends to the body. Precondition: started, not ended.
+    /// Appends to the body. Precondition: `start` was called, `end` was not.
     auto write(std::string_view bytes) -> void;
 
-    /// Ends the answer completely after what was written and `bytes`. Precondition: started.
+    /// Completes the response after the bytes written so far and `bytes`.
+    /// Precondition: `start` was called.
     auto end(std::string_view bytes = {}) -> void;
 
-    /// Cuts the answer and drops what was written, so that its receiver sees it as incomplete.
+    /// Aborts the response and discards unsent bytes, so that the receiver detects truncation.
     /// Precondition: none.
     auto abort() -> void;
 
-    /// Returns whether all of the answer was written.
+    /// Returns whether `end` was called; bytes may still wait to be sent.
     [[nodiscard]] auto isEnded() const -> bool { return this->ended; }
-    /// Returns the bytes that wait to be sent.
+    /// Returns the number of bytes that wait to be sent.
     [[nodiscard]] auto backlog() const -> std::size_t
     {
-        return this->pending.size() + this->flight.size();
+        return this->pending.size() + this->sending.size();
     }
-    /// Returns the descriptor of an HTTP/1 caller, or -1.
+    /// Returns the socket descriptor of an HTTP/1 caller; -1 for HTTP/2 or a closed request.
     [[nodiscard]] auto http1Descriptor() const -> int;
 
 private:
@@ -64,18 +66,18 @@
     static auto detach(void *link) -> void;
     auto pump() -> void;
     auto proceed() -> void;
-    auto requestGone() -> void;
+    auto requestDisposed() -> void;
 
     st_h2o_req_t *request;
     Link *link = nullptr;
     Callbacks callbacks;
-    std::string pending; ///< Written, not yet given to h2o.
-    std::string flight;  ///< Given to h2o; must stay until it asks for more.
+    std::string pending; ///< Written by the user, not yet passed to h2o.
+    std::string sending; ///< Passed to h2o; must stay valid until h2o calls `proceed`.
     bool started = false;
-    bool inFlight = false;  ///< h2o has not asked for more yet.
-    bool ended = false;     ///< No more will be written.
-    bool aborted = false;   ///< To be cut.
-    bool finalSent = false; ///< h2o was given the last part.
+    bool inFlight = false;  ///< h2o has not yet called `proceed` for the last bytes.
+    bool ended = false;     ///< `end` was called.
+    bool aborted = false;   ///< `abort` was called.
+    bool finalSent = false; ///< The last part was passed to h2o.
 };
 
 } // namespace flamingograde::net
--- a/src/net/connector.cpp
+++ b/src/net/connector.cpp
@@ -1,4 +1,4 @@
-/// Non-blocking connecting with a bound source.
+/// Non-blocking connect with a bound source address.
 #include "net/connector.h"
 
 #include "net/loop.h"
@@ -26,7 +26,7 @@
     return bind(fd, reinterpret_cast<const sockaddr *>(&name), sizeof(name)) == 0;
 }
 
-/// Returns a descriptor that is connecting, or -1 with `errno` set.
+/// Starts a non-blocking connect; returns its descriptor, or -1 with `errno` set.
 auto startConnecting(Address source, Address target) -> int
 {
     const auto fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -91,8 +91,8 @@
 {
     this->timer.cancel();
     this->close();
-    const auto told = std::move(this->done);
-    told(nullptr, error);
+    const auto callback = std::move(this->done);
+    callback(nullptr, error);
 }
 
 auto Connector::connected() -> void
@@ -103,8 +103,8 @@
         return;
     }
     this->timer.cancel();
-    const auto told = std::move(this->done);
-    told(std::exchange(this->socket, nullptr), 0);
+    const auto callback = std::move(this->done);
+    callback(std::exchange(this->socket, nullptr), 0);
 }
 
 } // namespace flamingograde::net
--- a/src/net/connector.h
+++ b/src/net/connector.h
@@ -14,16 +14,16 @@
 
 class Loop;
 
-/// Makes one connection from a given source IP number.
-/// @remarks Not thread safe. Gives up when destroyed before it is connected.
+/// Opens one TCP connection from a given source IP address.
+/// @remarks Not thread safe. Destruction cancels a pending connect without calling `done`.
 class Connector
 {
 public:
-    /// Gets the connected socket and owns it; or null and the system's error number.
+    /// Receives ownership of the connected socket, or null and the `errno` value of the failure.
     using Done = std::function<void(st_h2o_socket_t *, int error)>;
 
-    /// Starts to connect. `done` is called once, never from within the constructor.
-    /// @param source IP number to bind; invalid: the system's choice.
+    /// Starts to connect. `callback` is called once, never from within the constructor.
+    /// @param source IP address to bind; if invalid, the system chooses one.
     Connector(Loop &loop, Address source, Address target, Duration timeout, Done callback);
     ~Connector();
     Connector(const Connector &) = delete;
--- a/src/net/daemon.cpp
+++ b/src/net/daemon.cpp
@@ -1,4 +1,4 @@
-/// A host: the deciding library with everything that carries out its actions.
+/// The host process: runs the balancer library and carries out its actions.
 #include "net/daemon.h"
 
 #include "core/overloaded.h"
@@ -21,13 +21,14 @@
 
 namespace {
 
-constexpr auto flushTime = std::chrono::seconds(2); ///< For answers being sent at the end.
+constexpr auto flushTimeout = std::chrono::seconds(2); ///< For responses still being sent at exit.
 constexpr auto exitFailure = 1;
-// Names of the two addresses of the HTTP server, which may both ask for any free port.
-constexpr Address operatorsTag { 0, 1 };
+// Tags of the HTTP server's two listen addresses. The addresses themselves cannot serve as keys:
+// both may be configured with port 0 (any free port).
+constexpr Address adminTag { 0, 1 };
 constexpr Address readinessTag { 0, 2 };
 
-/// Lets the process have as many descriptors as the system allows it.
+/// Raises the soft limit of open file descriptors to the hard limit.
 auto raiseDescriptorLimit() -> void
 {
     rlimit limit {};
@@ -37,8 +38,8 @@
     }
 }
 
-/// Logs why a setting cannot be used.
-auto refuseSetting(const std::string &why) -> bool
+/// Logs why a setting cannot be used; returns false.
+auto logRefusedSetting(const std::string &why) -> bool
 {
     writeLog(LogEvent::SettingRefused, "why=\"" + why + "\"");
     return false;
@@ -51,7 +52,7 @@
       signals(
               this->loop, [this] { this->requestStop(); },
               [this] { this->settingsWatch.reload(); }),
-      settingsWatch(this->loop, file, [this](const Settings &read) { this->takeSettings(read); }),
+      settingsWatch(this->loop, file, [this](const Settings &read) { this->applySettings(read); }),
       client(this->loop, this->settings.source)
 {
     raiseDescriptorLimit();
@@ -64,11 +65,11 @@
     if (tag == readinessTag) {
         this->packets->answerReadiness(request);
     } else {
-        this->answerOperator(request);
+        this->answerAdminRequest(request);
     }
 }
 
-auto Daemon::answerOperator(st_h2o_req_t *request) -> void
+auto Daemon::answerAdminRequest(st_h2o_req_t *request) -> void
 {
     AdminSource source;
     source.metrics = [this] { return this->metrics(); };
@@ -78,7 +79,7 @@
     source.explain = [this](Address address, const std::string &token, const std::string &key) {
         return this->balancer->explain(address, token, key);
     };
-    answerAdmin(request, source);
+    handleAdminRequest(request, source);
 }
 
 auto Daemon::metrics() const -> std::string
@@ -103,7 +104,7 @@
         this->turn();
     }
     flushLog(Loop::now().mono);
-    reportStopped(*this->left);
+    reportStopped(*this->unfinished);
     return 0;
 }
 
@@ -111,8 +112,8 @@
 {
     this->tickIfDue();
     while (!this->queue.empty()) {
-        this->handleQueued();
-        this->loop.reportWrites(); // May post events.
+        this->handleQueuedEvents();
+        this->loop.reportWrites(); // May post further events.
     }
     if (this->packets != nullptr) {
         this->packets->startIfServing(Loop::now().mono);
@@ -135,10 +136,11 @@
     return true;
 }
 
-/// Reads the directory before anything else is set up, so that packets that came while the process
-/// started are carried first: after a power cut a host of a twentieth of a core is back 40 ms
-/// earlier (from its start's log line to its first flow, on the users' smallest hosts). Checks of
-/// the fabric wait in the system's queue meanwhile: one that is refused is repeated after 500 ms.
+/// Loads the directory before the listeners start, so that packets that arrived during startup are
+/// forwarded first. After a power failure this shortens the time from the `Started` log line to the
+/// first flow by 40 ms on the users' smallest hosts, which have a twentieth of a core. Readiness
+/// checks of the network fabric wait in the listen backlog meanwhile; a refused check would be
+/// repeated only after 500 ms.
 auto Daemon::loadDirectory() -> void
 {
     if (this->directory == nullptr) {
@@ -155,9 +157,9 @@
     this->http = std::make_unique<HttpServer>(
             this->loop, config::peerMessageMax,
             [this](st_h2o_req_t *request, Address tag) { this->answer(request, tag); });
-    const auto admin = this->http->bind(this->settings.admin, operatorsTag);
+    const auto admin = this->http->bind(this->settings.admin, adminTag);
     if (!admin) {
-        return refuseSetting(admin.error());
+        return logRefusedSetting(admin.error());
     }
     this->bound.admin = *admin;
     if (this->packets == nullptr || !this->settings.ready.isValid()) {
@@ -165,7 +167,7 @@
     }
     const auto ready = this->http->bind(this->settings.ready, readinessTag);
     if (!ready) {
-        return refuseSetting(ready.error());
+        return logRefusedSetting(ready.error());
     }
     this->bound.ready = *ready;
     return true;
@@ -182,7 +184,7 @@
     this->requests = std::make_unique<RequestPlane>(this->loop, this->client, this->settings, post);
     const auto relay = this->requests->open(this->settings.relay);
     if (!relay) {
-        return refuseSetting(relay.error());
+        return logRefusedSetting(relay.error());
     }
     this->bound.relay = *relay;
     auto &self = this->settings.init.self;
@@ -197,7 +199,7 @@
                 this->peers->accept(connection);
             });
     if (!listener) {
-        return refuseSetting(listener.error());
+        return logRefusedSetting(listener.error());
     }
     this->peerListener = std::move(*listener);
     this->bound.peer = this->peerListener->bound();
@@ -220,7 +222,7 @@
                                                   [this] { return this->balancer->isServing(); });
     const auto opened = this->packets->open();
     if (!opened) {
-        return refuseSetting(opened.error());
+        return logRefusedSetting(opened.error());
     }
     this->bound.packets = this->packets->bound();
     return true;
@@ -244,7 +246,7 @@
     }
 }
 
-auto Daemon::handleQueued() -> void
+auto Daemon::handleQueuedEvents() -> void
 {
     while (!this->queue.empty()) {
         auto event = std::move(this->queue.front());
@@ -268,10 +270,10 @@
                     [this](const ReadDirectory &read) { this->directory->act(read); },
                     [](const Log &log) { writeLog(log.event, log.text); },
                     [this](const StopReady &ready) {
-                        this->left = ready.left;
-                        this->endBefore = Loop::now().mono + flushTime;
+                        this->unfinished = ready.left;
+                        this->exitDeadline = Loop::now().mono + flushTimeout;
                     },
-                    [&](const auto & /*ofRequests*/) {
+                    [&](const auto & /*requestAction*/) {
                         if (this->requests != nullptr) {
                             this->requests->act(action);
                         }
@@ -291,7 +293,7 @@
     this->post(StopRequested {});
 }
 
-auto Daemon::takeSettings(const Settings &read) -> void
+auto Daemon::applySettings(const Settings &read) -> void
 {
     this->post(SeedsRead { read.init.seedAddresses });
     if (this->directory != nullptr) {
@@ -301,11 +303,11 @@
 
 auto Daemon::hasEnded() const -> bool
 {
-    if (!this->left) {
+    if (!this->unfinished) {
         return false;
     }
     const auto isIdle = this->requests == nullptr || this->requests->size() == 0;
-    return isIdle || Loop::now().mono >= *this->endBefore;
+    return isIdle || Loop::now().mono >= *this->exitDeadline;
 }
 
 } // namespace flamingograde::net
--- a/src/net/daemon.h
+++ b/src/net/daemon.h
@@ -1,4 +1,4 @@
-/// A host: the deciding library with everything that carries out its actions.
+/// The host process: runs the balancer library and carries out its actions.
 #pragma once
 
 #include "net/httpclient.h"
@@ -29,20 +29,20 @@
 class PacketPlane;
 class RequestPlane;
 
-/// Runs one host until it has stopped in order.
-/// @remarks Not thread safe. One in a process.
+/// Runs one host until its graceful shutdown is complete.
+/// @remarks Not thread safe. At most one per process.
 class Daemon
 {
 public:
-    /// @param file the settings file, which is read again when it changes.
-    /// @param start when the process began.
+    /// @param file path of the settings file, which is reloaded when it changes.
+    /// @param start start time of the process.
     /// Precondition: the log is open.
     Daemon(Settings chosen, const std::string &file, MonoTime start);
     ~Daemon();
     Daemon(const Daemon &) = delete;
     auto operator=(const Daemon &) -> Daemon & = delete;
 
-    /// Serves until the stop is complete.
+    /// Runs the event loop until the shutdown is complete.
     /// @returns the exit status of the process.
     [[nodiscard]] auto run() -> int;
 
@@ -55,13 +55,13 @@
     auto loadDirectory() -> void;
     auto turn() -> void;
     auto post(Event event) -> void;
-    /// Handles what was posted.
-    auto handleQueued() -> void;
+    /// Passes the queued events to the balancer and carries out the resulting actions.
+    auto handleQueuedEvents() -> void;
     auto act(const Action &action) -> void;
     auto requestStop() -> void;
-    auto takeSettings(const Settings &read) -> void;
+    auto applySettings(const Settings &read) -> void;
     auto answer(st_h2o_req_t *request, Address tag) -> void;
-    auto answerOperator(st_h2o_req_t *request) -> void;
+    auto answerAdminRequest(st_h2o_req_t *request) -> void;
     [[nodiscard]] auto metrics() const -> std::string;
     [[nodiscard]] auto hasEnded() const -> bool;
     auto tickIfDue() -> void;
@@ -72,19 +72,22 @@
     SignalWatch signals;
     SettingsWatch settingsWatch;
     HttpClient client;
-    std::unique_ptr<HttpServer> http; ///< For operators and the fabric's checks.
+    /// For admin requests and the network fabric's readiness checks.
+    std::unique_ptr<HttpServer> http;
     BoundAddresses bound;
-    std::unique_ptr<RequestPlane> requests;           ///< Null where the platform has a directory.
-    std::unique_ptr<PacketPlane> packets;             ///< Null where no packets are carried.
-    std::unique_ptr<platform::StoreReader> directory; ///< Null where the platform has a table.
+    std::unique_ptr<RequestPlane> requests; ///< Null if the platform provides a directory.
+    std::unique_ptr<PacketPlane> packets;   ///< Null if this host forwards no packets.
+    std::unique_ptr<platform::StoreReader> directory; ///< Null if the platform provides a table.
     std::unique_ptr<Listener> peerListener;
     std::unique_ptr<PeerHub> peers;
     std::unique_ptr<Balancer> balancer;
     std::deque<Event> queue;
     MonoTime nextTick;
     bool stopping = false;
-    std::optional<std::string> left;   ///< What the stop left unfinished, once it is complete.
-    std::optional<MonoTime> endBefore; ///< When the process ends even if answers are still sent.
+    /// Work left unfinished; set once the shutdown is complete.
+    std::optional<std::string> unfinished;
+    /// Latest exit time, even if responses are still being sent.
+    std::optional<MonoTime> exitDeadline;
 };
 
 } // namespace flamingograde::net
--- a/src/net/exchangecontext.h
+++ b/src/net/exchangecontext.h
@@ -1,4 +1,4 @@
-/// What the exchanges of a process share.
+/// Dependencies shared by all exchanges of a process.
 #pragma once
 
 #include <flamingograde/event.h>
@@ -11,14 +11,14 @@
 class HttpClient;
 class Loop;
 
-/// The surroundings of an exchange. All parts outlive the exchanges.
+/// Dependencies of an exchange. All of them outlive the exchanges.
 struct ExchangeContext
 {
     Loop &loop;
     HttpClient &client;
-    std::string hostName;                     ///< This host's.
-    std::function<void(Event)> post;          ///< Gives an event to the deciding library.
-    std::function<void(ExchangeId)> finished; ///< Nothing of the exchange is left.
+    std::string hostName;                     ///< Name of this host.
+    std::function<void(Event)> post;          ///< Posts an event to the balancer library.
+    std::function<void(ExchangeId)> finished; ///< The exchange is complete and can be destroyed.
 };
 
 } // namespace flamingograde::net
--- a/src/net/exchangetransport.cpp
+++ b/src/net/exchangetransport.cpp
@@ -1,4 +1,4 @@
-/// All requests under way: from callers and from other hosts.
+/// All requests in progress: from callers and from other hosts.
 #include "net/exchangetransport.h"
 
 #include "net/headernames.h"
@@ -14,9 +14,10 @@
 
 namespace {
 
-/// Reports that an action on a gone exchange sent nothing, where a report is owed.
+/// Reports `NotSent` for an action on an exchange that no longer exists, if the action would have
+/// sent a request; other actions need no report.
 template<typename A>
-auto reportGone(const ExchangeContext &context, const A &action) -> void
+auto reportNotSent(const ExchangeContext &context, const A &action) -> void
 {
     if constexpr (std::is_same_v<
                           A, Dispatch> || std::is_same_v<A, Relay> || std::is_same_v<A, OpenFeed>) {
@@ -84,7 +85,7 @@
 {
     const auto found = this->exchanges.find(action.exchange);
     if (found == this->exchanges.end()) {
-        reportGone(this->context, action);
+        reportNotSent(this->context, action);
         return;
     }
     found->second->act(action);
--- a/src/net/exchangetransport.h
+++ b/src/net/exchangetransport.h
@@ -1,4 +1,4 @@
-/// All requests under way: from callers and from other hosts.
+/// All requests in progress: from callers and from other hosts.
 #pragma once
 
 #include "net/exchangecontext.h"
@@ -23,34 +23,35 @@
 class HttpExchange;
 class Loop;
 
-/// Turns requests that come in into events, and the actions on them into bytes.
+/// Turns incoming requests into events and carries out the balancer's actions on them.
 /// @remarks Not thread safe.
 class ExchangeTransport
 {
 public:
     using Post = std::function<void(Event)>;
 
-    /// @param hostName this host's name, told to other hosts.
-    /// @param post takes the events.
+    /// @param hostName name of this host, sent to other hosts.
+    /// @param post receives the events.
     ExchangeTransport(Loop &loop, HttpClient &client, std::string hostName, Post post);
     ~ExchangeTransport();
     ExchangeTransport(const ExchangeTransport &) = delete;
     auto operator=(const ExchangeTransport &) -> ExchangeTransport & = delete;
 
-    /// Takes a caller's request that came to the row's `address`.
-    /// Precondition: nothing of `request` was answered.
+    /// Accepts a caller's request that arrived at the row's `address`.
+    /// Precondition: no part of the response to `request` has been sent.
     auto takeCaller(st_h2o_req_t *request, Address address) -> void;
 
-    /// Takes another host's request; answers one with missing headers itself.
-    /// Precondition: nothing of `request` was answered.
+    /// Accepts a request relayed by another host; answers 400 if relay headers are missing.
+    /// Precondition: no part of the response to `request` has been sent.
     auto takeRelay(st_h2o_req_t *request) -> void;
 
-    /// Carries out an action on an exchange; without effect where the exchange is gone.
+    /// Carries out an action on an exchange. If the exchange no longer exists, only reports an
+    /// action that would have sent a request as not sent.
     /// Precondition: not called from within a callback of h2o.
     template<typename A>
     auto act(const A &action) -> void;
 
-    /// Returns the requests and feeds under way. Precondition: none.
+    /// Returns the number of requests and feeds in progress. Precondition: none.
     [[nodiscard]] auto size() const -> std::size_t { return this->exchanges.size(); }
 
 private:
--- a/src/net/headernames.h
+++ b/src/net/headernames.h
@@ -1,4 +1,4 @@
-/// The names of the headers of docs/INTERFACES.md, in lower case.
+/// Lower-case names of the HTTP headers described in docs/INTERFACES.md.
 #pragma once
 
 #include <string_view>
@@ -7,7 +7,7 @@
 
 // clang-format off
 
-inline constexpr std::string_view ownPrefix      = "flamingograde-";
+inline constexpr std::string_view headerPrefix   = "flamingograde-";
 inline constexpr std::string_view verdict        = "flamingograde-verdict";
 inline constexpr std::string_view reason         = "flamingograde-reason";
 inline constexpr std::string_view timeout        = "flamingograde-timeout";
--- a/src/net/hostlog.cpp
+++ b/src/net/hostlog.cpp
@@ -1,11 +1,11 @@
-/// The log on standard output: spdlog chooses and lays out, a bounded buffer writes.
+/// The host's log on standard output: spdlog filters and formats, a bounded buffer writes.
 #include "net/hostlog.h"
 
 #include "net/lineallowance.h"
 #include "net/linebuffer.h"
 #include "net/loop.h"
 
-// Names of levels as operators' tools know them.
+// Level names that operators' tools match.
 #define SPDLOG_LEVEL_NAMES \
     { \
         "TRACE", "DEBUG", "INFO", "WARN", "ERROR", "FATAL", "OFF" \
@@ -22,20 +22,24 @@
 
 namespace {
 
-constexpr std::size_t waitingBytesMax = 256U << 10U; ///< Lines that standard output has not taken.
-constexpr double linesPerSecond = 200; ///< 40 KB/s: what a host's beliefs change at in a rollout.
-constexpr double linesAtOnce = 2000;   ///< A first directory of 120 upstreams and 350 rows fits.
-constexpr double packetLinesPerSecond = 100; ///< Of the 62 new flows a second at the design size.
-constexpr double packetLinesAtOnce = 400;
-constexpr Duration leftOutPeriod = std::chrono::seconds(1); ///< Of the word on lines left out.
-
-/// The process's log.
+constexpr std::size_t bufferedBytesMax = 256U << 10U; ///< Lines not yet written to standard output.
+/// 40 KB/s: the rate at which a host logs state changes during a rollout.
+constexpr double linesPerSecond = 200;
+/// Enough for the first directory of 120 upstreams and 350 rows.
+constexpr double lineBurst = 2000;
+/// Covers the 62 new flows per second of the design size.
+constexpr double packetLinesPerSecond = 100;
+constexpr double packetLineBurst = 400;
+/// Minimum interval between reports of dropped lines.
+constexpr Duration dropReportInterval = std::chrono::seconds(1);
+
+/// The process-wide state of the log.
 struct LogState
 {
-    LineBuffer lines { STDOUT_FILENO, waitingBytesMax };
-    LineAllowance all { linesPerSecond, linesAtOnce };
-    LineAllowance packets { packetLinesPerSecond, packetLinesAtOnce };
-    MonoTime leftOutSaid;
+    LineBuffer lines { STDOUT_FILENO, bufferedBytesMax };
+    LineAllowance all { linesPerSecond, lineBurst };
+    LineAllowance packets { packetLinesPerSecond, packetLineBurst };
+    MonoTime lastDropReport;
 };
 
 auto state() -> LogState &
@@ -44,7 +48,7 @@
     return instance;
 }
 
-/// Hands the lines of spdlog to the buffer.
+/// Sink that appends the lines formatted by spdlog to the line buffer.
 class LineSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex>
 {
 protected:
@@ -58,7 +62,7 @@
     auto flush_() -> void override {}
 };
 
-auto toLevel(LogLevel level) -> spdlog::level::level_enum
+auto toSpdlogLevel(LogLevel level) -> spdlog::level::level_enum
 {
     switch (level) {
     case LogLevel::Error:
@@ -73,7 +77,7 @@
     return spdlog::level::info;
 }
 
-/// Returns how important an event is; what each request may cause is for debugging.
+/// Returns the log level of an event. Events that any single request can cause are `Debug`.
 auto levelOf(LogEvent event) -> LogLevel
 {
     switch (event) {
@@ -125,17 +129,17 @@
 {
     logger().set_formatter(std::make_unique<spdlog::pattern_formatter>(
             "time=%Y-%m-%dT%H:%M:%S.%e level=%l %v", spdlog::pattern_time_type::utc));
-    logger().set_level(toLevel(level));
+    logger().set_level(toSpdlogLevel(level));
 }
 
 auto writeLog(LogEvent event, const std::string &text) -> void
 {
-    const auto level = toLevel(levelOf(event));
+    const auto level = toSpdlogLevel(levelOf(event));
     if (!logger().should_log(level) || !state().all.take(Loop::now().mono)) {
         return;
     }
-    const auto *const space = text.empty() ? "" : " ";
-    logger().log(level, "event={} name={}{}{}", number(event), toString(event), space, text);
+    const auto *const separator = text.empty() ? "" : " ";
+    logger().log(level, "event={} name={}{}{}", number(event), toString(event), separator, text);
 }
 
 auto maySayPacket(MonoTime now) -> bool
@@ -146,8 +150,8 @@
 auto flushLog(MonoTime now) -> void
 {
     auto &log = state();
-    if (now - log.leftOutSaid >= leftOutPeriod) {
-        log.leftOutSaid = now;
+    if (now - log.lastDropReport >= dropReportInterval) {
+        log.lastDropReport = now;
         const auto packets = log.packets.takeRefused();
         const auto others = log.all.takeRefused() + log.lines.takeDropped();
         if (packets + others > 0) {
--- a/src/net/hostlog.h
+++ b/src/net/hostlog.h
@@ -1,4 +1,4 @@
-/// The log on standard output.
+/// The host's log on standard output.
 #pragma once
 
 #include "wire/settings.h"
@@ -10,21 +10,23 @@
 
 namespace flamingograde::net {
 
-/// Sets the log up: lines of `time=... level=... event=NUMBER name=NAME` and the event's own
-/// fields. Precondition: called once, before `writeLog`.
+/// Initialises the log. Its lines consist of `time=... level=... event=NUMBER name=NAME` and the
+/// event's own fields. Precondition: called once, before `writeLog`.
 auto openLog(LogLevel level) -> void;
 
-/// Writes one numbered event, within the bounds of the log. Never blocks.
-/// @param text its fields, as `key=value` words.
+/// Logs one event; drops it if its level is disabled or the rate limit or the buffer limit of the
+/// log is reached. Never blocks.
+/// @param text the event's fields, as space-separated `key=value` pairs.
 /// Precondition: the log is open.
 auto writeLog(LogEvent event, const std::string &text) -> void;
 
-/// Returns whether a line on a packet would be written now: those have a bound of their own, as
-/// their number grows with the load. Counts it. Precondition: the log is open.
+/// Returns whether a line about a packet may be logged now, and counts it against their rate limit.
+/// Such lines have a separate limit because their number grows with the load.
+/// Precondition: the log is open.
 [[nodiscard]] auto maySayPacket(MonoTime now) -> bool;
 
-/// Hands waiting lines to standard output as far as it takes them, and says what was left out.
-/// Precondition: the log is open; called in each turn of the loop.
+/// Writes buffered lines to standard output without blocking, and logs how many lines were dropped.
+/// Precondition: the log is open; called in each iteration of the event loop.
 auto flushLog(MonoTime now) -> void;
 
 } // namespace flamingograde::net
--- a/src/net/httpcall.cpp
+++ b/src/net/httpcall.cpp
@@ -1,4 +1,4 @@
-/// A call on h2o's HTTP client over a connection made here.
+/// Runs a call with h2o's HTTP client over a connection opened by `Connector`.
 #include "net/httpcall.h"
 
 #include "net/httpclient.h"
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Hands a connected socket to `pool`, so that the next call on it takes the socket.
-auto giveToPool(st_h2o_socketpool_t *pool, h2o_socket_t *socket) -> bool
+/// Adds a connected socket to `pool`, so that the next call that uses the pool gets this socket.
+auto addToPool(st_h2o_socketpool_t *pool, h2o_socket_t *socket) -> bool
 {
     socket->on_close.data = pool;
     ++pool->_shared.count;
@@ -35,7 +35,7 @@
 
 } // namespace
 
-/// The callbacks of h2o's client.
+/// Callbacks for h2o's HTTP client.
 struct ClientCallbacks
 {
     static auto onConnect(h2o_http1client_t *client, const char *error, h2o_iovec_t **buffers,
@@ -53,15 +53,15 @@
     call->raw = client;
     if (error != nullptr) {
         call->raw = nullptr;
-        if (call->pooled) {
-            call->pooled = false;
+        if (call->reusesConnection) {
+            call->reusesConnection = false;
             call->connect();
         } else {
             call->end(CallEnd::NotSent);
         }
         return nullptr;
     }
-    if (!call->mayWrite()) {
+    if (!call->isBeforeWriteDeadline()) {
         call->raw = nullptr;
         call->end(CallEnd::NotSent);
         return nullptr;
@@ -89,7 +89,7 @@
         call->end(CallEnd::Lost);
         return nullptr;
     }
-    call->takeHead(status, headers, count);
+    call->handleHead(status, headers, count);
     if (noBody) {
         call->closeIfFresh();
         call->raw = nullptr;
@@ -101,12 +101,13 @@
 
 auto ClientCallbacks::onBody(h2o_http1client_t *client, const char *error) -> int
 {
-    static_cast<HttpCall *>(client->data)->takeBody(error);
+    static_cast<HttpCall *>(client->data)->handleBody(error);
     return 0;
 }
 
-HttpCall::HttpCall(HttpClient &owner, HttpRequest sent, CallHandlers told)
-    : client(owner), request(std::move(sent)), handlers(std::move(told)), lastByte(Loop::now().mono)
+HttpCall::HttpCall(HttpClient &owner, HttpRequest outgoing, CallHandlers callbacks)
+    : client(owner), request(std::move(outgoing)), handlers(std::move(callbacks)),
+      lastByte(Loop::now().mono)
 {}
 
 HttpCall::~HttpCall()
@@ -118,14 +119,14 @@
 {
     this->deadline =
             this->client.eventLoop().after(this->request.timeout, [this] { this->timeOut(); });
-    this->watchSilence();
+    this->checkSilence();
     auto *pool = this->request.fresh ? nullptr : this->client.poolOf(this->request.target);
     if (pool == nullptr || isEmpty(pool)) {
         this->connect();
         return;
     }
-    this->pooled = true;
-    this->runOn(pool);
+    this->reusesConnection = true;
+    this->sendOverPool(pool);
 }
 
 auto HttpCall::breakOff() -> void
@@ -148,27 +149,27 @@
         this->end(CallEnd::NotSent, error);
         return;
     }
-    auto *pool = this->request.fresh ? this->client.handOver()
+    auto *pool = this->request.fresh ? this->client.poolForNewConnection()
                                      : this->client.poolOf(this->request.target);
-    if (!giveToPool(pool, socket)) {
+    if (!addToPool(pool, socket)) {
         this->end(CallEnd::NotSent);
         return;
     }
-    this->runOn(pool);
+    this->sendOverPool(pool);
 }
 
-auto HttpCall::runOn(st_h2o_socketpool_t *pool) -> void
+auto HttpCall::sendOverPool(st_h2o_socketpool_t *pool) -> void
 {
     h2o_http1client_connect_with_pool(&this->raw, this, this->client.context(), pool,
                                       &ClientCallbacks::onConnect);
 }
 
-auto HttpCall::mayWrite() const -> bool
+auto HttpCall::isBeforeWriteDeadline() const -> bool
 {
     return !this->request.notAfter || Loop::now().wall <= *this->request.notAfter;
 }
 
-auto HttpCall::takeHead(int status, st_h2o_header_t *headers, std::size_t count) -> void
+auto HttpCall::handleHead(int status, st_h2o_header_t *headers, std::size_t count) -> void
 {
     HttpHead head;
     head.status = status;
@@ -201,13 +202,13 @@
     h2o_buffer_consume(&this->raw->sock->input, this->raw->sock->input->size);
 }
 
-auto HttpCall::takeBody(const char *error) -> void
+auto HttpCall::handleBody(const char *error) -> void
 {
     this->takeBytes();
     if (error == nullptr) {
         return;
     }
-    const auto whole = error == h2o_http1client_error_is_eos && !this->isCutAtChunk();
+    const auto whole = error == h2o_http1client_error_is_eos && !this->isClosedBetweenChunks();
     if (whole) {
         this->closeIfFresh();
     }
@@ -215,7 +216,7 @@
     this->end(whole ? CallEnd::Whole : CallEnd::Cut);
 }
 
-/// Closes a connection for one call, which h2o would keep for others.
+/// Closes the connection of a call with `fresh` set, which h2o would otherwise keep in the pool.
 auto HttpCall::closeIfFresh() -> void
 {
     if (this->request.fresh) {
@@ -223,10 +224,10 @@
     }
 }
 
-auto HttpCall::isCutAtChunk() const -> bool
+auto HttpCall::isClosedBetweenChunks() const -> bool
 {
-    // h2o takes the end of a connection between two chunks for the end of the answer. The real end,
-    // the last chunk, comes with bytes.
+    // h2o reports a connection closed between two chunks as a regular end of the response. At the
+    // real end, bytes were read: those of the last chunk.
     return this->chunked && this->raw->sock->bytes_read == 0;
 }
 
@@ -260,36 +261,37 @@
     }
 }
 
-auto HttpCall::watchSilence() -> void
+auto HttpCall::checkSilence() -> void
 {
     if (this->request.silence <= Duration(0)) {
         return;
     }
-    const auto quiet = Loop::now().mono - this->lastByte;
-    if (quiet >= this->request.silence && this->stoppedRead == nullptr) {
+    const auto idle = Loop::now().mono - this->lastByte;
+    if (idle >= this->request.silence && this->pausedReadCallback == nullptr) {
         this->timeOut();
         return;
     }
-    const auto wait = std::max<Duration>(this->request.silence - quiet, config::tickPeriod);
-    this->silence = this->client.eventLoop().after(wait, [this] { this->watchSilence(); });
+    const auto wait = std::max<Duration>(this->request.silence - idle, config::tickPeriod);
+    this->silence = this->client.eventLoop().after(wait, [this] { this->checkSilence(); });
 }
 
 auto HttpCall::pause() -> void
 {
-    if (this->stage != Stage::Reading || this->stoppedRead != nullptr || this->raw == nullptr) {
+    if (this->stage != Stage::Reading || this->pausedReadCallback != nullptr
+        || this->raw == nullptr) {
         return;
     }
-    this->stoppedRead = this->raw->sock->_cb.read;
+    this->pausedReadCallback = this->raw->sock->_cb.read;
     h2o_socket_read_stop(this->raw->sock);
 }
 
 auto HttpCall::resume() -> void
 {
-    if (this->stoppedRead == nullptr || this->raw == nullptr) {
+    if (this->pausedReadCallback == nullptr || this->raw == nullptr) {
         return;
     }
     this->lastByte = Loop::now().mono;
-    h2o_socket_read_start(this->raw->sock, std::exchange(this->stoppedRead, nullptr));
+    h2o_socket_read_start(this->raw->sock, std::exchange(this->pausedReadCallback, nullptr));
 }
 
 auto HttpCall::drop() -> void
--- a/src/net/httpcall.h
+++ b/src/net/httpcall.h
@@ -1,4 +1,4 @@
-/// One outgoing HTTP request and its answer.
+/// One outgoing HTTP request and its response.
 #pragma once
 
 #include "net/connector.h"
@@ -28,80 +28,81 @@
 
 class HttpClient;
 
-/// How a call ended.
+/// Outcome of a call.
 enum class CallEnd : std::uint8_t {
     NotSent, ///< No byte of the request left this process.
-    Lost,    ///< It may have been sent, and no answer began.
-    Whole,   ///< The whole answer came.
-    Cut,     ///< The answer broke off.
+    Lost,    ///< The request may have been sent, but no response head arrived.
+    Whole,   ///< The complete response arrived.
+    Cut,     ///< The response was truncated.
 };
 
-/// What is sent and how long it may take.
+/// An outgoing request with its time limits.
 struct HttpRequest
 {
     Address target;
-    std::string head;                        ///< Request line and headers with the empty line.
+    std::string head; ///< Request line and headers, including the final empty line.
     std::shared_ptr<const std::string> body; ///< May be null.
-    bool isHead = false;                     ///< The method is HEAD: the answer has no body.
-    bool fresh = false;                      ///< On a new connection, used for nothing else.
-    std::optional<WallTime> notAfter;        ///< Not written after this.
+    bool isHead = false;                     ///< The method is HEAD: the response has no body.
+    bool fresh = false;                      ///< Use a new connection and close it after the call.
+    std::optional<WallTime> notAfter;        ///< Latest time at which the request may be written.
     Duration timeout { 0 };                  ///< For the whole call.
-    Duration silence { 0 };                  ///< Longest time without a byte; 0: no limit.
+    Duration silence { 0 };                  ///< Maximum time without a received byte; 0: no limit.
 };
 
-/// What the user of a call is told.
+/// Callbacks of a call.
 struct CallHandlers
 {
-    std::function<void(HttpHead)> onHead;          ///< The answer's head came.
-    std::function<void(std::string_view)> onBody;  ///< Some of the body came.
-    std::function<void(CallEnd, int error)> onEnd; ///< Last; `error` is of a failed connect.
+    std::function<void(HttpHead)> onHead;         ///< The response head arrived.
+    std::function<void(std::string_view)> onBody; ///< A part of the body arrived.
+    /// Called last; `error` is the `errno` value of a failed connect, otherwise 0.
+    std::function<void(CallEnd, int error)> onEnd;
 };
 
-/// Sends one request and reports its answer.
+/// Sends one request and reports its response.
 ///
-/// Destroying it drops the call and closes its connection.
-/// @remarks Not thread safe. Not to be destroyed from within its own handlers.
+/// Destruction cancels the call and closes its connection.
+/// @remarks Not thread safe. Must not be destroyed from within its own handlers.
 class HttpCall
 {
 public:
     /// Precondition: `owner` outlives the call.
-    HttpCall(HttpClient &owner, HttpRequest sent, CallHandlers told);
+    HttpCall(HttpClient &owner, HttpRequest outgoing, CallHandlers callbacks);
     ~HttpCall();
     HttpCall(const HttpCall &) = delete;
     auto operator=(const HttpCall &) -> HttpCall & = delete;
 
     /// Starts the call; handlers may be called from within. Precondition: called once.
     auto start() -> void;
-    /// Ends the call soon, as if its time were over. Precondition: none.
+    /// Ends the call in the next loop iteration, as if it had timed out. Precondition: none.
     auto breakOff() -> void;
     /// Stops reading the body until `resume`. Precondition: none.
     auto pause() -> void;
-    /// Goes on reading. Precondition: none.
+    /// Resumes reading after `pause`. Precondition: none.
     auto resume() -> void;
 
 private:
     enum class Stage : std::uint8_t {
         Connecting,
-        Waiting, ///< Written, no head yet.
+        Waiting, ///< The request is written, no response head has arrived.
         Reading,
         Ended,
     };
-    using SocketRead = void (*)(st_h2o_socket_t *, const char *);
+    using SocketReadCallback = void (*)(st_h2o_socket_t *, const char *);
 
     friend struct ClientCallbacks;
 
     auto connect() -> void;
     auto connected(st_h2o_socket_t *socket, int error) -> void;
-    auto runOn(st_h2o_socketpool_t *pool) -> void;
-    [[nodiscard]] auto mayWrite() const -> bool;
-    auto takeHead(int status, st_h2o_header_t *headers, std::size_t count) -> void;
-    auto takeBody(const char *error) -> void;
+    auto sendOverPool(st_h2o_socketpool_t *pool) -> void;
+    [[nodiscard]] auto isBeforeWriteDeadline() const -> bool;
+    auto handleHead(int status, st_h2o_header_t *headers, std::size_t count) -> void;
+    auto handleBody(const char *error) -> void;
     auto takeBytes() -> void;
-    [[nodiscard]] auto isCutAtChunk() const -> bool;
+    [[nodiscard]] auto isClosedBetweenChunks() const -> bool;
     auto closeIfFresh() -> void;
     auto end(CallEnd end, int error = 0) -> void;
     auto timeOut() -> void;
-    auto watchSilence() -> void;
+    auto checkSilence() -> void;
     auto drop() -> void;
 
     HttpClient &client;
@@ -112,11 +113,11 @@
     Timer deadline;
     Timer silence;
     MonoTime lastByte;
-    SocketRead stoppedRead = nullptr;
-    std::array<h2o_iovec_t, 2> buffers {}; ///< The request as it is being written.
+    SocketReadCallback pausedReadCallback = nullptr;
+    std::array<h2o_iovec_t, 2> buffers {}; ///< Head and body of the request while h2o writes them.
     Stage stage = Stage::Connecting;
-    bool pooled = false;  ///< Runs on a connection that was used before.
-    bool chunked = false; ///< The body ends by its last chunk.
+    bool reusesConnection = false; ///< Runs on a reused connection.
+    bool chunked = false; ///< The body has a transfer encoding and ends with its last chunk.
 };
 
 } // namespace flamingograde::net
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -1,4 +1,4 @@
-/// Pools of idle connections.
+/// Pools of idle HTTP connections.
 #include "net/httpclient.h"
 
 #include "net/loop.h"
@@ -10,14 +10,15 @@
 
 namespace {
 
-constexpr std::uint64_t ioTimeoutMs = 24ULL * 3600 * 1000; ///< Calls have timers of their own.
-constexpr std::uint64_t idleTimeoutMs =
-        500; ///< Short: one that went silent looks like an idle one.
+/// Practically unlimited, as each call has its own timers.
+constexpr std::uint64_t ioTimeoutMs = 24ULL * 3600 * 1000;
+/// Short, because a connection whose peer stopped responding cannot be told from an idle one.
+constexpr std::uint64_t idleTimeoutMs = 500;
 constexpr std::size_t poolCapacity = 1024;
 
 } // namespace
 
-/// The client context of h2o and its timeout.
+/// h2o's client context and its I/O timeout.
 struct HttpClient::Context
 {
     h2o_timeout_t timeout {};
@@ -26,7 +27,7 @@
 
 HttpClient::HttpClient(Loop &owner, Address sourceIp)
     : loop(owner), source(sourceIp), shared(std::make_unique<Context>()),
-      newConnections(this->makePool())
+      newConnectionPool(this->makePool())
 {
     h2o_timeout_init(this->loop.raw(), &this->shared->timeout, ioTimeoutMs);
     this->shared->client.loop = this->loop.raw();
@@ -42,21 +43,22 @@
 
 auto HttpClient::makePool() const -> Pool
 {
-    // The broadcast address cannot be connected to: sockets come in only by h2o_socketpool_return.
-    auto nowhere = toSockaddr({ INADDR_BROADCAST, 1 });
-    Pool pool(new h2o_socketpool_t {}, [](st_h2o_socketpool_t *owned) {
-        h2o_socketpool_dispose(owned);
-        delete owned;
+    // A TCP connect to the broadcast address always fails, so the pool only ever contains sockets
+    // that were added by h2o_socketpool_return.
+    auto unroutable = toSockaddr({ INADDR_BROADCAST, 1 });
+    Pool pool(new h2o_socketpool_t {}, [](st_h2o_socketpool_t *disposed) {
+        h2o_socketpool_dispose(disposed);
+        delete disposed;
     });
-    h2o_socketpool_init_by_address(pool.get(), reinterpret_cast<sockaddr *>(&nowhere),
-                                   sizeof(nowhere), 0, poolCapacity);
+    h2o_socketpool_init_by_address(pool.get(), reinterpret_cast<sockaddr *>(&unroutable),
+                                   sizeof(unroutable), 0, poolCapacity);
     h2o_socketpool_set_timeout(pool.get(), this->loop.raw(), idleTimeoutMs);
     return pool;
 }
 
-auto HttpClient::handOver() -> st_h2o_socketpool_t *
+auto HttpClient::poolForNewConnection() -> st_h2o_socketpool_t *
 {
-    return this->newConnections.get();
+    return this->newConnectionPool.get();
 }
 
 auto HttpClient::poolOf(Address target) -> st_h2o_socketpool_t *
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -1,4 +1,4 @@
-/// Outgoing HTTP/1.1: connections kept by target, and what all calls share.
+/// Outgoing HTTP/1.1: idle connections per target, and the h2o context shared by all calls.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -13,12 +13,12 @@
 
 class Loop;
 
-/// Keeps idle connections and the client context of h2o.
+/// Owns the pools of idle connections and h2o's client context.
 /// @remarks Not thread safe. Must outlive its calls.
 class HttpClient
 {
 public:
-    /// @param sourceIp IP number to bind outgoing connections to; invalid: the system's choice.
+    /// @param sourceIp IP address to bind outgoing connections to; if invalid, the system chooses.
     HttpClient(Loop &owner, Address sourceIp);
     ~HttpClient();
     HttpClient(const HttpClient &) = delete;
@@ -28,11 +28,12 @@
     [[nodiscard]] auto sourceAddress() const -> Address { return this->source; }
     [[nodiscard]] auto context() -> st_h2o_http1client_ctx_t *;
 
-    /// Returns the idle connections to `target`. Precondition: none.
+    /// Returns the pool of idle connections to `target`. Precondition: none.
     [[nodiscard]] auto poolOf(Address target) -> st_h2o_socketpool_t *;
 
-    /// Returns the pool by which a new connection gets to its call. It is empty between calls.
-    [[nodiscard]] auto handOver() -> st_h2o_socketpool_t *;
+    /// Returns the pool that passes a new connection to h2o's client for a call that must not reuse
+    /// one. It is empty between calls.
+    [[nodiscard]] auto poolForNewConnection() -> st_h2o_socketpool_t *;
 
 private:
     struct Context;
@@ -43,7 +44,7 @@
     Loop &loop;
     Address source;
     std::unique_ptr<Context> shared;
-    Pool newConnections;
+    Pool newConnectionPool;
     std::unordered_map<Address, Pool> pools;
 };
 
--- a/src/net/httpexchange.cpp
+++ b/src/net/httpexchange.cpp
@@ -1,4 +1,4 @@
-/// One request that came in, the call made for it, and the answer passed back.
+/// One incoming request, the outgoing call made for it, and the response forwarded back.
 #include "net/httpexchange.h"
 
 #include "net/calleranswer.h"
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::size_t backlogMax = 256U
-                                   << 10U; ///< Bytes waiting for a caller before reading stops.
-constexpr auto feedTimeout = std::chrono::hours(24 * 365); ///< A feed has no deadline.
+/// Reading of the call's response pauses when more bytes than this wait for the caller.
+constexpr std::size_t backlogMax = 256U << 10U;
+constexpr auto feedTimeout = std::chrono::hours(24 * 365); ///< One year: a feed has no deadline.
 constexpr auto statusOk = 200;
 constexpr std::string_view keepAliveComment = ":\n\n";
 
@@ -27,8 +27,9 @@
                            st_h2o_req_t *incoming)
     : context(shared), id(number), request(std::make_shared<const Request>(std::move(request)))
 {
-    this->answer = CallerAnswer::attach(incoming, { [this](bool whole) { this->answerGone(whole); },
-                                                    [this] { this->drained(); } });
+    this->answer =
+            CallerAnswer::attach(incoming, { [this](bool whole) { this->onAnswerClosed(whole); },
+                                             [this] { this->resumeCall(); } });
 }
 
 HttpExchange::~HttpExchange() = default;
@@ -39,28 +40,28 @@
     if (action.keepAnswer) {
         this->stored.emplace();
     }
-    HttpRequest sent;
-    sent.target = action.address;
-    sent.head = requestHead(action, *this->request);
-    sent.body = std::shared_ptr<const std::string>(this->request, &this->request->body);
-    sent.isHead = this->request->method == "HEAD";
-    sent.fresh = action.freshConnection;
-    sent.timeout = action.remaining;
-    sent.notAfter = action.expires;
-    this->startCall(std::move(sent), action.attempt, AnswerSource::Upstream);
+    HttpRequest outgoing;
+    outgoing.target = action.address;
+    outgoing.head = requestHead(action, *this->request);
+    outgoing.body = std::shared_ptr<const std::string>(this->request, &this->request->body);
+    outgoing.isHead = this->request->method == "HEAD";
+    outgoing.fresh = action.freshConnection;
+    outgoing.timeout = action.remaining;
+    outgoing.notAfter = action.expires;
+    this->startCall(std::move(outgoing), action.attempt, AnswerSource::Upstream);
 }
 
 auto HttpExchange::act(const Relay &action) -> void
 {
-    HttpRequest sent;
-    sent.target = action.address;
-    sent.head = requestHead(action, *this->request, this->context.hostName);
-    sent.body = std::shared_ptr<const std::string>(this->request, &this->request->body);
-    sent.isHead = this->request->method == "HEAD";
-    sent.fresh = !action.key.empty();
-    sent.timeout = action.remaining;
-    sent.notAfter = Loop::now().wall + action.remaining;
-    this->startCall(std::move(sent), action.attempt, AnswerSource::Home);
+    HttpRequest outgoing;
+    outgoing.target = action.address;
+    outgoing.head = requestHead(action, *this->request, this->context.hostName);
+    outgoing.body = std::shared_ptr<const std::string>(this->request, &this->request->body);
+    outgoing.isHead = this->request->method == "HEAD";
+    outgoing.fresh = !action.key.empty();
+    outgoing.timeout = action.remaining;
+    outgoing.notAfter = Loop::now().wall + action.remaining;
+    this->startCall(std::move(outgoing), action.attempt, AnswerSource::Home);
 }
 
 auto HttpExchange::act(const OpenFeed &action) -> void
@@ -70,75 +71,77 @@
     }
     this->events->dropPartial();
     const auto &lastId = this->events->lastId();
-    HttpRequest sent;
-    sent.target = action.address;
-    sent.head = requestHead(action, *this->request,
-                            lastId.empty() ? this->request->lastEventId : lastId);
-    sent.fresh = true;
-    sent.timeout = feedTimeout;
-    sent.silence = config::feedSilenceTimeout;
-    this->startCall(std::move(sent), action.attempt, AnswerSource::Upstream);
+    HttpRequest outgoing;
+    outgoing.target = action.address;
+    outgoing.head = requestHead(action, *this->request,
+                                lastId.empty() ? this->request->lastEventId : lastId);
+    outgoing.fresh = true;
+    outgoing.timeout = feedTimeout;
+    outgoing.silence = config::feedSilenceTimeout;
+    this->startCall(std::move(outgoing), action.attempt, AnswerSource::Upstream);
 }
 
-auto HttpExchange::startCall(HttpRequest sent, std::uint32_t number, AnswerSource from) -> void
+auto HttpExchange::startCall(HttpRequest outgoing, std::uint32_t attemptNumber, AnswerSource from)
+        -> void
 {
     this->call.reset();
-    this->attempt = number;
+    this->attempt = attemptNumber;
     this->source = from;
     this->head.reset();
-    this->held.clear();
-    this->streaming = false;
-    this->splitting = false;
-    this->callEnded = false;
+    this->heldBody.clear();
+    this->forwardsBody = false;
+    this->isEventBody = false;
+    this->callCompleted = false;
     CallHandlers handlers;
-    handlers.onHead = [this](HttpHead came) { this->takeHead(std::move(came)); };
-    handlers.onBody = [this](std::string_view bytes) { this->takeBody(bytes); };
-    handlers.onEnd = [this](CallEnd end, int /*error*/) { this->takeEnd(end); };
-    this->call =
-            std::make_unique<HttpCall>(this->context.client, std::move(sent), std::move(handlers));
+    handlers.onHead = [this](HttpHead received) { this->handleHead(std::move(received)); };
+    handlers.onBody = [this](std::string_view bytes) { this->handleBody(bytes); };
+    handlers.onEnd = [this](CallEnd end, int /*error*/) { this->handleEnd(end); };
+    this->call = std::make_unique<HttpCall>(this->context.client, std::move(outgoing),
+                                            std::move(handlers));
     this->call->start();
 }
 
-auto HttpExchange::takeHead(HttpHead came) -> void
+auto HttpExchange::handleHead(HttpHead received) -> void
 {
-    this->splitting = this->events != nullptr && came.status == statusOk && isEventStream(came);
-    this->head = std::move(came);
+    this->isEventBody =
+            this->events != nullptr && received.status == statusOk && isEventStream(received);
+    this->head = std::move(received);
     ExchangeProgress progress { this->id, this->attempt, Progress::Answering };
     progress.head = readAnswerHead(*this->head, this->source);
     this->context.post(std::move(progress));
-    this->streaming = this->headPassed && this->splitting;
+    this->forwardsBody = this->headForwarded && this->isEventBody;
 }
 
-auto HttpExchange::takeBody(std::string_view bytes) -> void
+auto HttpExchange::handleBody(std::string_view bytes) -> void
 {
-    this->keep(bytes);
-    if (!this->splitting) {
-        this->passBytes(bytes);
+    this->storeBytes(bytes);
+    if (!this->isEventBody) {
+        this->forwardBytes(bytes);
         return;
     }
-    this->passBytes(this->events->push(bytes));
+    this->forwardBytes(this->events->push(bytes));
     if (this->events->isEventTooLarge()) {
         this->call->breakOff();
     }
 }
 
-auto HttpExchange::passBytes(std::string_view bytes) -> void
+auto HttpExchange::forwardBytes(std::string_view bytes) -> void
 {
     if (bytes.empty() || this->answer == nullptr) {
         return;
     }
-    if (this->streaming) {
+    if (this->forwardsBody) {
         this->lastWrite = Loop::now().mono;
         this->answer->write(bytes);
     } else {
-        this->held.append(bytes);
+        this->heldBody.append(bytes);
     }
-    if (this->answer != nullptr && this->answer->backlog() + this->held.size() > backlogMax) {
+    if (this->answer != nullptr && this->answer->backlog() + this->heldBody.size() > backlogMax) {
         this->call->pause();
     }
 }
 
-auto HttpExchange::keep(std::string_view bytes) -> void
+auto HttpExchange::storeBytes(std::string_view bytes) -> void
 {
     if (!this->stored) {
         return;
@@ -150,7 +153,7 @@
     this->stored->body.append(bytes);
 }
 
-auto HttpExchange::takeEnd(CallEnd end) -> void
+auto HttpExchange::handleEnd(CallEnd end) -> void
 {
     switch (end) {
     case CallEnd::NotSent:
@@ -163,12 +166,12 @@
         this->report(Progress::Cut);
         break;
     case CallEnd::Whole:
-        if (this->splitting) {
-            this->report(Progress::Cut); // A feed that ends is opened again.
+        if (this->isEventBody) {
+            this->report(Progress::Cut); // A feed that ends is reopened.
             break;
         }
-        this->callEnded = true;
-        this->finishAnswer();
+        this->callCompleted = true;
+        this->completeAnswer();
         break;
     }
     if (this->answer == nullptr) {
@@ -182,14 +185,14 @@
     this->context.post(ExchangeProgress { this->id, this->attempt, progress });
 }
 
-auto HttpExchange::finishAnswer() -> void
+auto HttpExchange::completeAnswer() -> void
 {
-    if (!this->callEnded) {
+    if (!this->callCompleted) {
         return;
     }
     if (this->answer == nullptr) {
         this->reportAnswered();
-    } else if (this->streaming) {
+    } else if (this->forwardsBody) {
         this->answer->end();
     }
 }
@@ -198,7 +201,7 @@
 {
     ExchangeProgress progress { this->id, this->attempt, Progress::Answered };
     if (this->stored && this->head) {
-        this->stored->head = passedHead(*this->head, this->source, "");
+        this->stored->head = forwardedHead(*this->head, this->source, "");
         progress.whole = std::make_shared<const std::string>(this->stored->encode());
     }
     this->context.post(std::move(progress));
@@ -206,32 +209,32 @@
 
 auto HttpExchange::act(const PassAnswer &action) -> void
 {
-    if (this->answer == nullptr || !this->head || this->headPassed) {
+    if (this->answer == nullptr || !this->head || this->headForwarded) {
         return;
     }
-    this->passHead(action.setToken);
-    this->streaming = true;
-    const auto came = std::exchange(this->held, {});
-    if (this->callEnded) {
-        this->answer->end(came);
+    this->forwardHead(action.setToken);
+    this->forwardsBody = true;
+    const auto received = std::exchange(this->heldBody, {});
+    if (this->callCompleted) {
+        this->answer->end(received);
         return;
     }
-    if (this->splitting) {
-        this->answer->write(keepAliveComment); // h2o sends no head before the first byte.
+    if (this->isEventBody) {
+        this->answer->write(keepAliveComment); // h2o sends the head only with the first body byte.
     }
-    this->passBytes(came);
+    this->forwardBytes(received);
 }
 
-auto HttpExchange::passHead(const std::string &setToken) -> void
+auto HttpExchange::forwardHead(const std::string &setToken) -> void
 {
-    this->headPassed = true;
-    auto passed = passedHead(*this->head, this->source, setToken);
-    if (this->splitting) {
-        passed.contentLength.reset();
+    this->headForwarded = true;
+    auto forwarded = forwardedHead(*this->head, this->source, setToken);
+    if (this->isEventBody) {
+        forwarded.contentLength.reset();
         this->lastWrite = Loop::now().mono;
         this->keepAlive();
     }
-    this->answer->start(passed);
+    this->answer->start(forwarded);
 }
 
 auto HttpExchange::keepAlive() -> void
@@ -251,7 +254,7 @@
 {
     const auto kept = StoredAnswer::decode(*action.whole);
     if (kept) {
-        this->sendWhole(kept->head, kept->body);
+        this->sendComplete(kept->head, kept->body);
     } else {
         this->act(AbortAnswer { this->id });
     }
@@ -259,20 +262,20 @@
 
 auto HttpExchange::act(const Refuse &action) -> void
 {
-    if (this->headPassed) {
+    if (this->headForwarded) {
         this->act(AbortAnswer { this->id });
         return;
     }
-    this->sendWhole(refusalHead(action.refusal), refusalBody(action.refusal));
+    this->sendComplete(refusalHead(action.refusal), refusalBody(action.refusal));
 }
 
-auto HttpExchange::sendWhole(const HttpHead &whole, std::string_view body) -> void
+auto HttpExchange::sendComplete(const HttpHead &whole, std::string_view body) -> void
 {
     this->closed = true;
     if (this->answer != nullptr) {
         auto sized = whole;
         sized.contentLength = body.size();
-        this->headPassed = true;
+        this->headForwarded = true;
         this->answer->start(sized);
         this->answer->end(body);
     }
@@ -282,13 +285,13 @@
 auto HttpExchange::act(const Cancel & /*action*/) -> void
 {
     this->call.reset();
-    this->held.clear();
+    this->heldBody.clear();
     this->finishIfIdle();
 }
 
 auto HttpExchange::act(const AbortAnswer & /*action*/) -> void
 {
-    this->closed = true; // So that the caller's end is not told as its leaving.
+    this->closed = true; // Prevents `onAnswerClosed` from reporting that the caller left.
     if (this->answer != nullptr) {
         this->answer->abort();
     }
@@ -299,9 +302,9 @@
 {
     this->call.reset();
     this->keepAliveTimer.cancel();
-    this->callEnded = true;
-    if (this->answer != nullptr && this->headPassed) {
-        this->answer->end(); // Whole events only were written.
+    this->callCompleted = true;
+    if (this->answer != nullptr && this->headForwarded) {
+        this->answer->end(); // Only complete events were written.
         return;
     }
     this->reportAnswered();
@@ -318,7 +321,8 @@
 
 auto HttpExchange::callerLeft() -> void
 {
-    // A caller may close as soon as it has the last byte, before h2o has seen it leave.
+    // After the last byte a caller may close its connection before h2o notices that the response is
+    // sent; such a response is complete and is not aborted.
     if (this->answer != nullptr && !this->answer->isEnded()) {
         this->answer->abort();
     }
@@ -329,29 +333,29 @@
     return this->answer == nullptr ? -1 : this->answer->http1Descriptor();
 }
 
-auto HttpExchange::answerGone(bool whole) -> void
+auto HttpExchange::onAnswerClosed(bool whole) -> void
 {
     this->answer.reset();
     this->keepAliveTimer.cancel();
-    if (!this->closed && whole && this->callEnded) {
+    if (!this->closed && whole && this->callCompleted) {
         this->closed = true;
         this->reportAnswered();
     } else if (!this->closed) {
         this->context.post(CallerLeft { this->id });
-        this->drained();
+        this->resumeCall();
     }
     this->finishIfIdle();
 }
 
 auto HttpExchange::finishIfIdle() -> void
 {
-    const auto isCalling = this->call != nullptr && !this->callEnded;
+    const auto isCalling = this->call != nullptr && !this->callCompleted;
     if (this->answer == nullptr && (this->closed || !isCalling)) {
         this->context.finished(this->id);
     }
 }
 
-auto HttpExchange::drained() -> void
+auto HttpExchange::resumeCall() -> void
 {
     if (this->call != nullptr) {
         this->call->resume();
--- a/src/net/httphead.h
+++ b/src/net/httphead.h
@@ -1,4 +1,4 @@
-/// The head of an HTTP answer.
+/// The head of an HTTP response.
 #pragma once
 
 #include <cstddef>
@@ -10,17 +10,17 @@
 
 namespace flamingograde::net {
 
-/// Status and headers of an answer.
+/// Status and headers of a response.
 struct HttpHead
 {
     using Header = std::pair<std::string, std::string>; ///< Name in lower case, and value.
 
     int status = 0;
     std::vector<Header> headers;              ///< Without `content-length`.
-    std::optional<std::size_t> contentLength; ///< Missing where the length is not known.
+    std::optional<std::size_t> contentLength; ///< Empty if the length is unknown.
 
-    /// Returns the value of the first header `name` (lower case); empty for none.
-    /// @remarks Thread safe for readers.
+    /// Returns the value of the first header `name` (lower case); empty if there is none.
+    /// @remarks Safe for concurrent readers.
     [[nodiscard]] auto header(std::string_view name) const -> std::string_view
     {
         for (const auto &[key, value] : this->headers) {
--- a/src/net/httpserver.h
+++ b/src/net/httpserver.h
@@ -18,47 +18,49 @@
 class Listener;
 class Loop;
 
-/// Takes whole requests and hands each to one handler, with the name of the address it came to.
-/// @remarks Not thread safe. Must live until the end of the process once it has listened, as its
-/// connections do.
+/// Receives complete requests and passes each to the handler, with the tag of the address at which
+/// it arrived.
+/// @remarks Not thread safe. Once it has listened, it must live until the process exits, because
+/// its connections refer to it until then.
 class HttpServer
 {
 public:
-    /// Gets a request whose body is complete, and `tag` of the address that it came to.
+    /// Receives a request whose body is complete, and the tag of the address at which it arrived.
     using Handler = std::function<void(st_h2o_req_t *, Address tag)>;
 
-    /// @param bodyMax larger bodies are answered 413 by the server itself.
+    /// @param bodyMax maximum body size in bytes; the server itself answers 413 to larger ones.
     HttpServer(Loop &owner, std::size_t bodyMax, Handler callback);
     ~HttpServer();
     HttpServer(const HttpServer &) = delete;
     auto operator=(const HttpServer &) -> HttpServer & = delete;
 
-    /// Listens on `address`; connections wait in the system's queue until `start`.
-    /// @param tag names the address to the handler; a second call for it has no effect.
-    /// @returns the address bound, or why not.
+    /// Listens on `address`; connections wait in the listen backlog until `start`.
+    /// @param tag identifies the address to the handler. If the tag is already listening, the call
+    /// changes nothing and returns the address bound before.
+    /// @returns the bound address, or the reason of the failure.
     [[nodiscard]] auto bind(Address address, Address tag) -> tl::expected<Address, std::string>;
 
-    /// Takes connections at all addresses that are bound. Precondition: none.
+    /// Starts to accept connections on all bound addresses. Precondition: none.
     auto start() -> void;
 
-    /// Listens on `address` and takes connections. As `bind` and `start`.
+    /// Listens on `address` and accepts connections: `bind` followed by `start`.
     [[nodiscard]] auto listen(Address address, Address tag) -> tl::expected<Address, std::string>;
 
-    /// Takes no more connections for `tag`; open ones go on. Precondition: none.
+    /// Stops accepting connections for `tag`; open ones stay open. Precondition: none.
     auto unlisten(Address tag) -> void;
 
-    /// Tells every connection to end after its requests. Precondition: none.
+    /// Closes every connection gracefully, after its current requests. Precondition: none.
     auto shutdown() -> void;
 
 private:
-    struct Engine;
-    struct Entrance;
+    struct ServerContext;
+    struct Endpoint;
 
     Loop &loop;
     std::size_t bodyMax;
     Handler handler;
-    std::unique_ptr<Engine> engine; ///< Made by the first `start`.
-    std::unordered_map<Address, std::unique_ptr<Entrance>> entrances;
+    std::unique_ptr<ServerContext> serverContext; ///< Created by the first `start`.
+    std::unordered_map<Address, std::unique_ptr<Endpoint>> endpoints;
 };
 
 } // namespace flamingograde::net
