--- a/src/net/incomingrequest.cpp
+++ b/src/net/incomingrequest.cpp
@@ -1,4 +1,4 @@
-/// Reads requests that came in over HTTP.
+/// Reads incoming HTTP requests.
 #include "net/incomingrequest.h"
 
 #include "net/headernames.h"
@@ -45,7 +45,7 @@
     return number;
 }
 
-/// Reads milliseconds of at most a day, which no deadline exceeds.
+/// Parses a duration in milliseconds, limited to one day, which no deadline exceeds.
 auto readMilliseconds(std::string_view text) -> std::optional<Duration>
 {
     constexpr std::uint64_t longest = 24ULL * 3600 * 1000;
@@ -56,7 +56,7 @@
     return std::chrono::milliseconds(std::min(*number, longest));
 }
 
-/// Returns the flow token among the cookies; empty for none.
+/// Returns the flow token of a cookie header, or an empty view if it has none.
 auto findToken(std::string_view cookies) -> std::string_view
 {
     while (!cookies.empty()) {
@@ -71,7 +71,7 @@
     return {};
 }
 
-/// Returns the flow token of the request; HTTP/2 may carry each cookie in a header of its own.
+/// Returns the flow token of the request. HTTP/2 may send each cookie in a separate header.
 auto findToken(const st_h2o_req_t &request) -> std::string_view
 {
     ssize_t index = -1;
--- a/src/net/incomingrequest.h
+++ b/src/net/incomingrequest.h
@@ -1,4 +1,4 @@
-/// Reads requests that came in over HTTP.
+/// Reads incoming HTTP requests.
 #pragma once
 
 #include "net/request.h"
@@ -12,14 +12,15 @@
 
 namespace flamingograde::net {
 
-/// Returns what is passed on of `request`. Precondition: its body is complete.
+/// Returns the parts of `request` that are forwarded. Precondition: its body is complete.
 [[nodiscard]] auto readRequest(const st_h2o_req_t &request) -> Request;
 
-/// Returns the event of a caller's request, without its exchange. Precondition: as above.
+/// Returns the event for a caller's request; the exchange id is left unset.
+/// Precondition: the body of `request` is complete.
 [[nodiscard]] auto readCaller(const st_h2o_req_t &request, Address address) -> CallerArrived;
 
-/// Returns the event of a relayed request, without its exchange; nothing where a header is missing
-/// or malformed. Precondition: as above.
+/// Returns the event for a relayed request, with the exchange id unset, or nothing if a header is
+/// missing or malformed. Precondition: the body of `request` is complete.
 [[nodiscard]] auto readRelay(const st_h2o_req_t &request) -> std::optional<RelayArrived>;
 
 } // namespace flamingograde::net
--- a/src/net/leavewatch.cpp
+++ b/src/net/leavewatch.cpp
@@ -1,4 +1,4 @@
-/// A poll set of callers' descriptors inside the loop's own.
+/// An epoll set of callers' sockets, nested in the epoll set of the event loop.
 #include "net/leavewatch.h"
 
 #include "net/loop.h"
@@ -18,10 +18,11 @@
 
 } // namespace
 
-LeaveWatch::LeaveWatch(Loop &loop, Left callback)
-    : poll(epoll_create1(EPOLL_CLOEXEC)),
-      socket(h2o_evloop_socket_create(loop.raw(), this->poll, H2O_SOCKET_FLAG_DONT_READ)),
-      left(std::move(callback))
+LeaveWatch::LeaveWatch(Loop &loop, Disconnected callback)
+    : epollDescriptor(epoll_create1(EPOLL_CLOEXEC)),
+      socket(h2o_evloop_socket_create(loop.raw(), this->epollDescriptor,
+                                      H2O_SOCKET_FLAG_DONT_READ)),
+      disconnected(std::move(callback))
 {
     this->socket->data = this;
     h2o_socket_read_start(this->socket, [](h2o_socket_t *self, const char * /*error*/) {
@@ -40,17 +41,17 @@
     epoll_event event {};
     event.events = EPOLLRDHUP | EPOLLONESHOT;
     event.data.u64 = exchange.value();
-    if (epoll_ctl(this->poll, EPOLL_CTL_MOD, descriptor, &event) != 0) {
-        epoll_ctl(this->poll, EPOLL_CTL_ADD, descriptor, &event);
+    if (epoll_ctl(this->epollDescriptor, EPOLL_CTL_MOD, descriptor, &event) != 0) {
+        epoll_ctl(this->epollDescriptor, EPOLL_CTL_ADD, descriptor, &event);
     }
 }
 
 auto LeaveWatch::readAll() -> void
 {
     std::array<epoll_event, eventsPerTurn> events {};
-    const auto count = epoll_wait(this->poll, events.data(), eventsPerTurn, 0);
+    const auto count = epoll_wait(this->epollDescriptor, events.data(), eventsPerTurn, 0);
     for (auto index = 0; index < count; ++index) {
-        this->left(ExchangeId(events[static_cast<std::size_t>(index)].data.u64));
+        this->disconnected(ExchangeId(events[static_cast<std::size_t>(index)].data.u64));
     }
 }
 
--- a/src/net/leavewatch.h
+++ b/src/net/leavewatch.h
@@ -1,4 +1,4 @@
-/// Notices callers that leave while their request is under way.
+/// Detects callers that disconnect while their request is in progress.
 #pragma once
 
 #include <flamingograde/ids.h>
@@ -11,30 +11,31 @@
 
 class Loop;
 
-/// Watches the descriptors of HTTP/1 callers for their end, which h2o does not look at while a
-/// request is under way.
+/// Watches the sockets of HTTP/1 callers for disconnection, which h2o does not check while a
+/// request is in progress.
 /// @remarks Not thread safe.
 class LeaveWatch
 {
 public:
-    using Left = std::function<void(ExchangeId)>;
+    using Disconnected = std::function<void(ExchangeId)>;
 
-    /// @param callback told that the caller of an exchange left; it may have ended long ago.
-    LeaveWatch(Loop &loop, Left callback);
+    /// @param callback called when the caller of an exchange has disconnected; the exchange may
+    /// have ended long before.
+    LeaveWatch(Loop &loop, Disconnected callback);
     ~LeaveWatch();
     LeaveWatch(const LeaveWatch &) = delete;
     auto operator=(const LeaveWatch &) -> LeaveWatch & = delete;
 
-    /// Watches `descriptor` for `exchange` in place of an earlier one, until the descriptor is
-    /// closed. Precondition: the descriptor is open.
+    /// Watches `descriptor` on behalf of `exchange`, replacing any earlier exchange, until the
+    /// descriptor is closed. Precondition: the descriptor is open.
     auto watch(int descriptor, ExchangeId exchange) -> void;
 
 private:
     auto readAll() -> void;
 
-    int poll;
+    int epollDescriptor;
     st_h2o_socket_t *socket;
-    Left left;
+    Disconnected disconnected;
 };
 
 } // namespace flamingograde::net
--- a/src/net/lineallowance.h
+++ b/src/net/lineallowance.h
@@ -1,4 +1,4 @@
-/// How many lines may be logged.
+/// Rate limit for log lines.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -9,36 +9,37 @@
 
 namespace flamingograde::net {
 
-/// A token bucket: a burst of lines, then so many a second.
+/// A token bucket that allows a burst of lines, then a fixed number per second.
 /// @remarks Not thread safe.
 class LineAllowance
 {
 public:
-    /// @param perSecond lines a second in the long run.
-    /// @param burst lines at once after a quiet time.
-    LineAllowance(double perSecond, double burst) : rate(perSecond), most(burst), left(burst) {}
+    /// @param perSecond sustained rate in lines per second.
+    /// @param burst most lines allowed at once after an idle period.
+    LineAllowance(double perSecond, double burst) : rate(perSecond), burstMax(burst), tokens(burst)
+    {}
 
-    /// Returns whether a line may be logged at `now`, and counts it. Precondition: `now` never
-    /// falls.
+    /// Returns whether a line may be logged at `now`, and consumes a token or counts the refusal.
+    /// Precondition: `now` never decreases.
     [[nodiscard]] auto take(MonoTime now) -> bool
     {
         const std::chrono::duration<double> passed = now - std::exchange(this->last, now);
-        this->left = std::min(this->most, this->left + passed.count() * this->rate);
-        if (this->left < 1) {
+        this->tokens = std::min(this->burstMax, this->tokens + passed.count() * this->rate);
+        if (this->tokens < 1) {
             ++this->refused;
             return false;
         }
-        this->left -= 1;
+        this->tokens -= 1;
         return true;
     }
 
-    /// Returns the lines refused since the last call. Precondition: none.
+    /// Returns the number of lines refused since the last call. Precondition: none.
     [[nodiscard]] auto takeRefused() -> std::uint64_t { return std::exchange(this->refused, 0); }
 
 private:
     double rate;
-    double most;
-    double left;
+    double burstMax;
+    double tokens;
     MonoTime last;
     std::uint64_t refused = 0;
 };
--- a/src/net/linebuffer.cpp
+++ b/src/net/linebuffer.cpp
@@ -1,4 +1,4 @@
-/// Writing without blocking.
+/// Non-blocking writes of buffered lines.
 #include "net/linebuffer.h"
 
 #include <poll.h>
@@ -22,7 +22,7 @@
 auto LineBuffer::flush() -> void
 {
     while (!this->isEmpty() && this->isWritable()) {
-        // A pipe that is writable has room for PIPE_BUF bytes: no more are written at once.
+        // A writable pipe has room for at least PIPE_BUF bytes; a larger write could block.
         const auto count = std::min<std::size_t>(this->text.size() - this->begin, PIPE_BUF);
         const auto written = write(this->descriptor, this->text.data() + this->begin, count);
         if (written <= 0) {
--- a/src/net/linebuffer.h
+++ b/src/net/linebuffer.h
@@ -1,4 +1,4 @@
-/// Lines on their way to standard output, which may be slow or stuck.
+/// Buffer for lines written to standard output, whose reader may be slow or blocked.
 #pragma once
 
 #include <cstddef>
@@ -8,25 +8,26 @@
 
 namespace flamingograde::net {
 
-/// Holds lines until the descriptor takes them; drops what does not fit. Never blocks.
+/// Buffers lines until the descriptor accepts them; drops lines that do not fit. Never blocks.
 /// @remarks Not thread safe.
 class LineBuffer
 {
 public:
-    /// @param output where lines go. Precondition: it stays open.
-    /// @param most bytes held.
-    LineBuffer(int output, std::size_t most) : descriptor(output), bytesMax(most) {}
+    /// @param output descriptor to write to. Precondition: it stays open.
+    /// @param capacity buffer capacity in bytes.
+    LineBuffer(int output, std::size_t capacity) : descriptor(output), bytesMax(capacity) {}
 
-    /// Appends a line with its end, or drops it whole. Precondition: none.
+    /// Appends a line, which includes its line break, or drops the whole line if it does not fit.
+    /// Precondition: none.
     auto add(std::string_view line) -> void;
 
-    /// Writes as much as the descriptor takes without blocking. Precondition: none.
+    /// Writes as much as the descriptor accepts without blocking. Precondition: none.
     auto flush() -> void;
 
-    /// Returns the lines dropped since the last call. Precondition: none.
+    /// Returns the number of lines dropped since the last call. Precondition: none.
     [[nodiscard]] auto takeDropped() -> std::uint64_t;
 
-    /// Returns whether lines wait. Precondition: none.
+    /// Returns whether no bytes are waiting to be written. Precondition: none.
     [[nodiscard]] auto isEmpty() const -> bool { return this->begin == this->text.size(); }
 
 private:
@@ -35,7 +36,7 @@
     int descriptor;
     std::size_t bytesMax;
     std::string text;
-    std::size_t begin = 0; ///< What comes before it was written.
+    std::size_t begin = 0; ///< Offset in `text` of the first byte not yet written.
     std::uint64_t dropped = 0;
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -1,4 +1,4 @@
-/// Binding, listening and accepting.
+/// Implements the listening TCP socket.
 #include "net/listener.h"
 
 #include "net/loop.h"
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr auto backlog = 4096;                            ///< Connections that wait to be accepted.
-constexpr auto restTime = std::chrono::milliseconds(100); ///< With no descriptor left.
-constexpr auto acceptsPerTurn = 64; ///< So that a burst does not starve open connections.
+constexpr auto backlog = 4096; ///< Connections waiting to be accepted.
+constexpr auto acceptRetryDelay = std::chrono::milliseconds(100); ///< Delay after EMFILE or ENFILE.
+constexpr auto acceptsPerTurn = 64; ///< Keeps a burst from starving open connections.
 
 /// Returns a listening descriptor, or -1 with `errno` set.
 auto openListening(Address address) -> int
@@ -96,7 +96,7 @@
         }
         if (errno == EMFILE || errno == ENFILE) {
             h2o_socket_read_stop(this->socket);
-            this->resting = this->loop.after(restTime, [this] { this->start(); });
+            this->acceptRetry = this->loop.after(acceptRetryDelay, [this] { this->start(); });
         }
         return;
     }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-/// A listening socket.
+/// A listening TCP socket.
 #pragma once
 
 #include "net/timer.h"
@@ -17,21 +17,21 @@
 
 class Loop;
 
-/// Takes connections on one address and hands them on.
+/// Accepts connections on one address and passes them to a callback.
 /// @remarks Not thread safe. Stops listening when destroyed.
 class Listener
 {
 public:
     using Accepted = std::function<void(st_h2o_socket_t *)>;
 
-    /// Binds and listens; connections wait in the system until `start`.
-    /// @param address where; port 0 takes any free port.
-    /// @param accepted gets each new connection and owns it.
-    /// @returns the listener, or why it cannot listen.
+    /// Binds and listens; connections wait in the kernel backlog until `start`.
+    /// @param address address to bind; port 0 selects any free port.
+    /// @param accepted called with each new connection, of which it takes ownership.
+    /// @returns the listener, or an error message.
     [[nodiscard]] static auto bind(Loop &loop, Address address, Accepted accepted)
             -> tl::expected<std::unique_ptr<Listener>, std::string>;
 
-    /// As `bind`, and starts at once.
+    /// Does the same as `bind`, then calls `start`.
     [[nodiscard]] static auto open(Loop &loop, Address address, Accepted accepted)
             -> tl::expected<std::unique_ptr<Listener>, std::string>;
 
@@ -39,10 +39,10 @@
     Listener(const Listener &) = delete;
     auto operator=(const Listener &) -> Listener & = delete;
 
-    /// Begins to take connections. Precondition: called once after `bind`.
+    /// Starts accepting connections. Precondition: called once after `bind`.
     auto start() -> void;
 
-    /// Returns the address it is bound to. Precondition: none.
+    /// Returns the address that the socket is bound to. Precondition: none.
     [[nodiscard]] auto bound() const -> Address { return this->address; }
 
 private:
@@ -53,7 +53,7 @@
     st_h2o_socket_t *socket;
     Address address;
     Accepted accepted;
-    Timer resting; ///< Until descriptors may be free again.
+    Timer acceptRetry; ///< Resumes accepting after the process ran out of descriptors.
 };
 
 } // namespace flamingograde::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -1,4 +1,4 @@
-/// The loop's clocks, timers and turns.
+/// Implements the event loop and its timers.
 #include "net/loop.h"
 
 #include <h2o.h>
@@ -41,7 +41,7 @@
 
 Loop::Loop() : evloop(h2o_evloop_create()) {}
 
-// The evloop itself is left to the end of the process: h2o 2.2 cannot destroy it.
+// The h2o event loop is not freed before the process exits: h2o 2.2 cannot destroy it.
 Loop::~Loop() = default;
 
 auto Loop::now() -> Now
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-/// The one event loop of the process: sockets by h2o, timers, and both clocks.
+/// The event loop of the process: h2o sockets, timers, and the monotonic and wall clocks.
 #pragma once
 
 #include "net/timer.h"
@@ -15,7 +15,7 @@
 
 namespace flamingograde::net {
 
-/// Runs callbacks of sockets, timers and deferred tasks, all on the caller's thread.
+/// Runs socket callbacks, timers and deferred tasks on the thread that calls `turn`.
 /// @remarks Not thread safe.
 class Loop
 {
@@ -27,27 +27,29 @@
     Loop(const Loop &) = delete;
     auto operator=(const Loop &) -> Loop & = delete;
 
-    /// Returns h2o's loop. Precondition: none.
+    /// Returns the underlying h2o event loop. Precondition: none.
     [[nodiscard]] auto raw() const -> st_h2o_evloop_t * { return this->evloop; }
 
-    /// Reads both clocks; the steady one counts while the machine is suspended.
+    /// Reads both clocks. The monotonic clock keeps counting while the machine is suspended.
     [[nodiscard]] static auto now() -> Now;
 
     /// Runs `task` after `delay`, unless the timer is destroyed first. Precondition: none.
     [[nodiscard]] auto after(Duration delay, Task task) -> Timer;
 
-    /// Runs `task` at the end of this turn, outside of any socket's callback. Precondition: none.
+    /// Runs `task` at the end of the current turn, outside any socket callback. Precondition: none.
     auto defer(Task task) -> void;
 
-    /// Reports on writes made outside of h2o's run, whose callbacks h2o keeps for its next one.
+    /// Runs the completion callbacks of writes made outside `h2o_evloop_run`, which h2o would
+    /// otherwise keep until its next run.
     ///
-    /// h2o frees a closed socket at the start of a run, before it looks at the sockets it has to
-    /// report on: one that was written to and then closed between two runs would be used after it
-    /// was freed. So each turn begins with this. Precondition: not called from a callback.
+    /// h2o frees closed sockets at the start of a run, before it processes the sockets with pending
+    /// completions: a socket that was written to and then closed between two runs would be used
+    /// after it was freed. Therefore each turn calls this first. Precondition: not called from a
+    /// callback.
     auto reportWrites() -> void;
 
-    /// Waits for sockets up to `longest`, then runs what is due. Does not wait after tasks of the
-    /// last turn, which may have left something to be handled.
+    /// Waits for socket events for at most `longest`, then runs due timers and deferred tasks.
+    /// Does not wait if the last turn ran timers or tasks, since they may have left work to do.
     /// Precondition: not called from a callback.
     auto turn(Duration longest) -> void;
 
@@ -55,15 +57,16 @@
     friend class Timer;
     using Key = std::pair<MonoTime, std::uint64_t>;
 
-    /// Run what is due. @returns whether anything ran.
+    /// Runs the timers that are due. @returns whether any ran.
     auto runTimers() -> bool;
+    /// Runs the deferred tasks. @returns whether any ran.
     auto runDeferred() -> bool;
 
     st_h2o_evloop_t *evloop;
     std::map<Key, Task> timers;
     std::vector<Task> deferred;
     std::uint64_t nextSequence = 0;
-    bool tasksRan = false; ///< In the last turn.
+    bool tasksRan = false; ///< Whether the last turn ran a timer or a deferred task.
 };
 
 } // namespace flamingograde::net
--- a/src/net/metrics.cpp
+++ b/src/net/metrics.cpp
@@ -1,4 +1,4 @@
-/// The metrics of a host in Prometheus' text form.
+/// Exports the metrics of a host in the Prometheus text format.
 #include "net/metrics.h"
 
 #include "net/packettraffic.h"
@@ -27,7 +27,7 @@
 constexpr auto microsecondsPerSecond = 1e6;
 constexpr auto millisecondsPerSecond = 1e3;
 
-/// Collects metrics.
+/// Collects metric families and serializes them.
 class MetricList
 {
 public:
@@ -105,7 +105,7 @@
     return number(resident) * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-/// Adds a counter with a value for each reason, in the order of `Reason`.
+/// Adds a counter with one value per reason; `counts` is indexed by `Reason`.
 template<typename Reason, typename Counts>
 auto addByReason(MetricList &list, const std::string &name, const std::string &help,
                  const Counts &counts) -> void
--- a/src/net/metrics.h
+++ b/src/net/metrics.h
@@ -1,4 +1,4 @@
-/// The metrics of a host in Prometheus' text form.
+/// Exports the metrics of a host in the Prometheus text format.
 #pragma once
 
 #include <flamingograde/stats.h>
@@ -12,7 +12,7 @@
 struct PeerTraffic;
 
 /// Returns all counters and gauges of this process.
-/// @param packets null where no packets are carried.
+/// @param packets null if the host does not forward packets.
 /// @remarks Not thread safe.
 [[nodiscard]] auto metricsText(const Stats &stats, const PeerTraffic &traffic,
                                const PacketTraffic *packets) -> std::string;
--- a/src/net/packetplane.cpp
+++ b/src/net/packetplane.cpp
@@ -1,4 +1,4 @@
-/// What carries callers' packets.
+/// Receives and forwards callers' packets.
 #include "net/packetplane.h"
 
 #include "net/hostlog.h"
@@ -19,7 +19,7 @@
 constexpr auto statusNotFound = 404;
 constexpr auto statusUnavailable = 503;
 
-auto eventOf(const PacketDecision &decision) -> LogEvent
+auto logEventOf(const PacketDecision &decision) -> LogEvent
 {
     if (decision.reason == PacketReason::SteeredOverdue) {
         return LogEvent::FlowOverdue;
@@ -70,7 +70,7 @@
     if (this->started) {
         return;
     }
-    // Packets that come while the directory is being read wait in the system's buffer.
+    // Packets that arrive while the directory is being read wait in the kernel buffer.
     if (this->isReady() || now - this->openedAt >= config::packetHoldTimeMax) {
         this->started = true;
         this->socket->start();
@@ -80,10 +80,10 @@
 auto PacketPlane::tick(MonoTime now) -> void
 {
     const auto malformed = this->traffic().malformed;
-    if (malformed != this->malformedSaid && maySayPacket(now)) {
+    if (malformed != this->malformedLogged && maySayPacket(now)) {
         writeLog(LogEvent::PacketMalformed,
-                 "datagrams=" + std::to_string(malformed - this->malformedSaid));
-        this->malformedSaid = malformed;
+                 "datagrams=" + std::to_string(malformed - this->malformedLogged));
+        this->malformedLogged = malformed;
     }
 }
 
@@ -94,15 +94,15 @@
     this->balancer.steer(now, heads, decisions);
     for (std::size_t i = 0; i < heads.size(); ++i) {
         if (decisions[i].reason != PacketReason::Steered && maySayPacket(now.mono)) {
-            this->sayPacket(heads[i], decisions[i]);
+            this->logPacket(heads[i], decisions[i]);
         }
     }
 }
 
-auto PacketPlane::sayPacket(const PacketHead &head, const PacketDecision &decision) const -> void
+auto PacketPlane::logPacket(const PacketHead &head, const PacketDecision &decision) const -> void
 {
-    writeLog(eventOf(decision), "flow=" + head.caller.toString() + ">" + head.service.toString()
-                                        + " " + this->balancer.describe(head, decision));
+    writeLog(logEventOf(decision), "flow=" + head.caller.toString() + ">" + head.service.toString()
+                                           + " " + this->balancer.describe(head, decision));
 }
 
 auto PacketPlane::answerReadiness(st_h2o_req_t *request) const -> void
--- a/src/net/packetplane.h
+++ b/src/net/packetplane.h
@@ -1,4 +1,4 @@
-/// What carries callers' packets.
+/// Receives and forwards callers' packets.
 #pragma once
 
 #include "net/packetsocket.h"
@@ -22,39 +22,40 @@
 
 class Loop;
 
-/// The socket of packets, answers to the fabric's readiness checks, and the log's lines on packets.
+/// Owns the packet socket, answers the fabric's readiness checks and logs packet events.
 /// @remarks Not thread safe.
 class PacketPlane
 {
 public:
-    /// @param decider decides on packets. Precondition: it outlives this, as does `loop`.
-    /// @param ready whether the fabric may send packets.
+    /// @param decider decides where each packet goes. Precondition: it outlives this, as does
+    /// `loop`.
+    /// @param ready returns whether the fabric may send packets to this host.
     PacketPlane(Loop &owner, const Settings &chosen, Balancer &decider,
                 std::function<bool()> ready);
 
-    /// Binds where packets come in. Precondition: called once.
-    /// @returns nothing, or why it cannot be bound.
+    /// Binds the packet socket. Precondition: called once.
+    /// @returns nothing, or an error message.
     [[nodiscard]] auto open() -> tl::expected<void, std::string>;
 
-    /// Answers a readiness check. Precondition: nothing of `request` was answered.
+    /// Answers a readiness check. Precondition: no response to `request` was started.
     auto answerReadiness(st_h2o_req_t *request) const -> void;
 
-    /// Begins to read packets once this host can decide on them, or has waited long enough.
-    /// Precondition: opened; to be called in each turn of the loop.
+    /// Starts reading packets once this host is ready, or `config::packetHoldTimeMax` after `open`.
+    /// Precondition: opened; called in each turn of the loop.
     auto startIfServing(MonoTime now) -> void;
 
-    /// Logs datagrams that are no packet. Precondition: opened; to be called on each tick.
+    /// Logs the number of new malformed datagrams. Precondition: opened; called on each tick.
     auto tick(MonoTime now) -> void;
 
-    /// Returns the counters. Precondition: opened.
+    /// Returns the traffic counters. Precondition: opened.
     [[nodiscard]] auto traffic() const -> const PacketTraffic & { return this->socket->traffic(); }
-    /// Returns where packets come in. Precondition: opened.
+    /// Returns the address on which packets are received. Precondition: opened.
     [[nodiscard]] auto bound() const -> Address { return this->socket->bound(); }
 
 private:
     auto steer(const std::vector<PacketHead> &heads, std::vector<PacketDecision> &decisions)
             -> void;
-    auto sayPacket(const PacketHead &head, const PacketDecision &decision) const -> void;
+    auto logPacket(const PacketHead &head, const PacketDecision &decision) const -> void;
 
     Loop &loop;
     const Settings &settings;
@@ -63,7 +64,7 @@
     std::unique_ptr<PacketSocket> socket;
     MonoTime openedAt;
     bool started = false;
-    std::uint64_t malformedSaid = 0; ///< Of the malformed datagrams, those that the log has.
+    std::uint64_t malformedLogged = 0; ///< Number of malformed datagrams already logged.
 };
 
 } // namespace flamingograde::net
--- a/src/net/packetsocket.cpp
+++ b/src/net/packetsocket.cpp
@@ -1,4 +1,4 @@
-/// Batched reading and sending of datagrams.
+/// Reads and sends datagrams in batches.
 #include "net/packetsocket.h"
 
 #include "net/loop.h"
@@ -20,15 +20,15 @@
 
 namespace {
 
-constexpr int receiveBufferBytes = 1
-                                   << 20; ///< 800 whole packets: 0.4 s of a host's share at a rush.
-constexpr int batchesPerTurn = 8;         ///< So that packets do not starve the other sockets.
+/// Holds 800 full-size packets: 0.4 s of a host's share of the peak load.
+constexpr int receiveBufferBytes = 1 << 20;
+constexpr int batchesPerTurn = 8; ///< Keeps packets from starving other sockets.
 constexpr std::size_t sendsMax = config::packetBatch * PacketDecision::targetsMax;
-/// One byte more than a packet has, so that a longer datagram shows.
+/// One byte more than the largest packet, so that longer datagrams are detected.
 constexpr std::size_t bufferBytes = platform::packetBytesMax + 1;
 
 /// Returns a bound descriptor, or -1 with `errno` set.
-auto openBound(Address address) -> int
+auto openDatagramSocket(Address address) -> int
 {
     const auto fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) {
@@ -47,7 +47,7 @@
 
 } // namespace
 
-/// What the system's calls read and write.
+/// Buffers and message headers for `recvmmsg` and `sendmmsg`.
 struct PacketSocket::Buffers
 {
     std::array<std::array<std::uint8_t, bufferBytes>, config::packetBatch> bytes;
@@ -57,7 +57,7 @@
     std::array<platform::ForwardPrefix, sendsMax> prefixes;
     std::array<platform::ResetPacket, sendsMax> resets;
     std::array<std::array<iovec, 2>, sendsMax> sendVectors;
-    std::array<sockaddr_in, sendsMax> names;
+    std::array<sockaddr_in, sendsMax> targetNames;
     std::array<mmsghdr, sendsMax> sends;
     std::size_t sendCount = 0;
 
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Returns the vectors of one more datagram to `target`.
+    /// Appends a datagram to `target` and returns its I/O vectors for the caller to fill.
     auto add(Address target, std::size_t vectors) -> std::array<iovec, 2> &
     {
         const auto index = this->sendCount++;
-        this->names[index] = toSockaddr(target);
+        this->targetNames[index] = toSockaddr(target);
         auto &header = this->sends[index].msg_hdr;
         header = {};
-        header.msg_name = &this->names[index];
+        header.msg_name = &this->targetNames[index];
         header.msg_namelen = sizeof(sockaddr_in);
         header.msg_iov = this->sendVectors[index].data();
         header.msg_iovlen = vectors;
@@ -89,9 +89,9 @@
 auto PacketSocket::open(Loop &loop, Address address, std::uint16_t callerPort, Steer steer)
         -> tl::expected<std::unique_ptr<PacketSocket>, std::string>
 {
-    const auto fd = openBound(address);
+    const auto fd = openDatagramSocket(address);
     if (fd < 0) {
-        return tl::unexpected("cannot take packets on " + address.toString() + ": "
+        return tl::unexpected("cannot receive packets on " + address.toString() + ": "
                               + std::strerror(errno));
     }
     return std::unique_ptr<PacketSocket>(new PacketSocket(loop, fd, callerPort, std::move(steer)));
@@ -104,7 +104,7 @@
 {
     this->socket->data = this;
     this->heads.reserve(config::packetBatch);
-    this->places.reserve(config::packetBatch);
+    this->bufferIndexes.reserve(config::packetBatch);
     this->decisions.reserve(config::packetBatch);
 }
 
@@ -145,7 +145,7 @@
     ++this->counters.batches;
     this->decode(static_cast<std::size_t>(count));
     this->steer(this->heads, this->decisions);
-    this->prepare();
+    this->prepareSends();
     this->send();
     return static_cast<std::size_t>(count);
 }
@@ -153,7 +153,7 @@
 auto PacketSocket::decode(std::size_t count) -> void
 {
     this->heads.clear();
-    this->places.clear();
+    this->bufferIndexes.clear();
     this->counters.received += count;
     for (std::size_t i = 0; i < count; ++i) {
         const auto head = platform::decodePacket(this->buffers->bytes[i].data(),
@@ -163,11 +163,11 @@
             continue;
         }
         this->heads.push_back(*head);
-        this->places.push_back(i);
+        this->bufferIndexes.push_back(i);
     }
 }
 
-auto PacketSocket::prepare() -> void
+auto PacketSocket::prepareSends() -> void
 {
     this->buffers->sendCount = 0;
     for (std::size_t i = 0; i < this->decisions.size(); ++i) {
@@ -183,9 +183,9 @@
 
 auto PacketSocket::prepareForward(std::size_t packet, const PacketTarget &target) -> void
 {
-    const auto place = this->places[packet];
-    auto *bytes = this->buffers->bytes[place].data();
-    const auto size = this->buffers->reads[place].msg_len;
+    const auto bufferIndex = this->bufferIndexes[packet];
+    auto *bytes = this->buffers->bytes[bufferIndex].data();
+    const auto size = this->buffers->reads[bufferIndex].msg_len;
     auto &prefix = this->buffers->prefixes[this->buffers->sendCount];
     prefix = platform::makeForwardPrefix(bytes, target);
     auto &vectors = this->buffers->add(target.address, 2);
@@ -213,7 +213,8 @@
             this->counters.sent += static_cast<std::uint64_t>(sent);
             continue;
         }
-        // The first of the rest was not taken: the other end makes up for a lost datagram.
+        // The kernel rejected the first remaining datagram. Skip it: the endpoints recover from
+        // lost datagrams.
         ++done;
         ++this->counters.unsent;
     }
--- a/src/net/packetsocket.h
+++ b/src/net/packetsocket.h
@@ -1,4 +1,4 @@
-/// The datagrams of callers' packets.
+/// The UDP socket for callers' packets.
 #pragma once
 
 #include "net/packettraffic.h"
@@ -22,19 +22,19 @@
 
 class Loop;
 
-/// Reads packets in batches, has them decided and sends them on.
-/// @remarks Not thread safe. Allocates nothing once it is open.
+/// Reads packets in batches, requests a decision for each, and forwards or resets them.
+/// @remarks Not thread safe. Does not allocate memory after `open`.
 class PacketSocket
 {
 public:
-    /// Decides on a batch: gets the heads, fills in one decision for each.
+    /// Called with the heads of a batch; fills in one decision per head.
     using Steer =
             std::function<void(const std::vector<PacketHead> &, std::vector<PacketDecision> &)>;
 
-    /// Binds; packets wait in the system until `start`.
-    /// @param address where packets come in.
-    /// @param callerPort where callers' hosts take packets.
-    /// @returns the socket, or why it cannot be bound.
+    /// Binds the socket; packets wait in the kernel buffer until `start`.
+    /// @param address address on which packets are received.
+    /// @param callerPort port on which callers' hosts receive packets.
+    /// @returns the socket, or an error message.
     [[nodiscard]] static auto open(Loop &loop, Address address, std::uint16_t callerPort,
                                    Steer steer)
             -> tl::expected<std::unique_ptr<PacketSocket>, std::string>;
@@ -43,12 +43,12 @@
     PacketSocket(const PacketSocket &) = delete;
     auto operator=(const PacketSocket &) -> PacketSocket & = delete;
 
-    /// Begins to read. Precondition: called once.
+    /// Starts reading. Precondition: called once.
     auto start() -> void;
 
-    /// Returns the address it is bound to. Precondition: none.
+    /// Returns the address that the socket is bound to. Precondition: none.
     [[nodiscard]] auto bound() const -> Address;
-    /// Returns the counters. Precondition: none.
+    /// Returns the traffic counters. Precondition: none.
     [[nodiscard]] auto traffic() const -> const PacketTraffic & { return this->counters; }
 
 private:
@@ -58,7 +58,7 @@
     auto readAll() -> void;
     auto readBatch() -> std::size_t;
     auto decode(std::size_t count) -> void;
-    auto prepare() -> void;
+    auto prepareSends() -> void;
     auto prepareForward(std::size_t packet, const PacketTarget &target) -> void;
     auto prepareReset(std::size_t packet) -> void;
     auto send() -> void;
@@ -69,7 +69,8 @@
     st_h2o_socket_t *socket;
     std::unique_ptr<Buffers> buffers;
     std::vector<PacketHead> heads;
-    std::vector<std::size_t> places; ///< Of each head: the buffer of its packet.
+    /// For each head, the index of the buffer that holds its packet.
+    std::vector<std::size_t> bufferIndexes;
     std::vector<PacketDecision> decisions;
     PacketTraffic counters;
 };
--- a/src/net/packettraffic.h
+++ b/src/net/packettraffic.h
@@ -1,18 +1,18 @@
-/// Counters of callers' packets at the socket.
+/// Counters of the UDP socket for callers' packets.
 #pragma once
 
 #include <cstdint>
 
 namespace flamingograde::net {
 
-/// What came and went since the start.
+/// Datagrams received and sent since the process started.
 struct PacketTraffic
 {
     std::uint64_t received = 0;
-    std::uint64_t malformed = 0; ///< Datagrams that are no packet: too short, too long, cut.
+    std::uint64_t malformed = 0; ///< Invalid packets: too short, too long or truncated.
     std::uint64_t sent = 0;      ///< To upstreams and, as resets, to callers.
-    std::uint64_t unsent = 0;    ///< The system did not take them.
-    std::uint64_t batches = 0;   ///< Reads that gave packets.
+    std::uint64_t unsent = 0;    ///< Rejected by the kernel on sending.
+    std::uint64_t batches = 0;   ///< Read calls that returned datagrams.
 };
 
 } // namespace flamingograde::net
--- a/src/net/peerendpoints.h
+++ b/src/net/peerendpoints.h
@@ -1,4 +1,4 @@
-/// What all websockets between hosts share.
+/// Configuration and endpoints shared by all websockets between hosts.
 #pragma once
 
 #include <flamingograde/config.h>
@@ -11,9 +11,9 @@
 
 namespace flamingograde::net {
 
-// NOLINTBEGIN(readability-identifier-naming): websocketpp gives the names.
+// NOLINTBEGIN(readability-identifier-naming): websocketpp defines the names.
 
-/// The configuration of websocketpp: one thread, no log of its own, bounded messages.
+/// websocketpp configuration: single-threaded, no logging, bounded message size.
 struct PeerConfig : websocketpp::config::core_client
 {
     using type = PeerConfig;
@@ -39,8 +39,8 @@
 
 // NOLINTEND(readability-identifier-naming)
 
-/// Makes the ends of websockets.
-/// @remarks Not thread safe. Must outlive them.
+/// Creates the websocket connections of this host.
+/// @remarks Not thread safe. Must outlive the connections.
 struct PeerEndpoints
 {
     using Connection = websocketpp::connection<PeerConfig>;
--- a/src/net/peerhub.cpp
+++ b/src/net/peerhub.cpp
@@ -1,4 +1,4 @@
-/// The connections with other hosts.
+/// Manages the connections to other hosts.
 #include "net/peerhub.h"
 
 #include "net/loop.h"
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// How long a connection that the other host closed is waited for, while another is coming.
-constexpr Duration awaitTime = std::chrono::milliseconds(200);
+/// How long to wait for the replacement of a connection that the other host closed.
+constexpr Duration replacementTimeout = std::chrono::milliseconds(200);
 
 } // namespace
 
-PeerHub::PeerHub(Loop &owner, Member member, Address sourceIp, Post report, LogText logger)
+PeerHub::PeerHub(Loop &owner, Member member, Address sourceIp, Post report, LogCallback logger)
     : loop(owner), self(std::move(member)), source(sourceIp), post(std::move(report)),
       log(std::move(logger)), endpoints(std::make_unique<PeerEndpoints>())
 {}
@@ -29,7 +29,7 @@
     this->links.clear();
 }
 
-auto PeerHub::add() -> PeerLink &
+auto PeerHub::addLink() -> PeerLink &
 {
     const auto id = ++this->lastLink;
     return *this->links.emplace(id, std::make_unique<PeerLink>(*this, id)).first->second;
@@ -37,7 +37,7 @@
 
 auto PeerHub::accept(st_h2o_socket_t *connection) -> void
 {
-    this->add().accept(connection);
+    this->addLink().accept(connection);
 }
 
 auto PeerHub::connect(HostId host, Address address) -> void
@@ -49,14 +49,14 @@
 
 auto PeerHub::connectSeed(Address address) -> void
 {
-    // The host's name is not known: until it says so the address stands for it.
-    const auto standIn = HostId::ofName("seed " + address.toString());
-    if (this->dialled.count(standIn) != 0) {
+    // The host is unknown until its `Hello` arrives: an id derived from the address identifies it.
+    const auto placeholder = HostId::ofName("seed " + address.toString());
+    if (this->dialled.count(placeholder) != 0) {
         return;
     }
-    auto &link = this->add();
-    this->dialled.emplace(standIn, link.linkId());
-    link.dialSeed(standIn, address);
+    auto &link = this->addLink();
+    this->dialled.emplace(placeholder, link.linkId());
+    link.dialSeed(placeholder, address);
 }
 
 auto PeerHub::dial(HostId host, Address address) -> void
@@ -64,12 +64,12 @@
     if (this->dialled.count(host) != 0) {
         return;
     }
-    auto &link = this->add();
+    auto &link = this->addLink();
     this->dialled.emplace(host, link.linkId());
     link.dial(host, address);
 }
 
-auto PeerHub::replace(const PeerLink &link) -> void
+auto PeerHub::dialReplacement(const PeerLink &link) -> void
 {
     const auto &member = *link.peer();
     if (this->linkOf(member.id) == &link && this->dialled.count(member.id) == 0) {
@@ -80,13 +80,13 @@
 
 auto PeerHub::drop(HostId host) -> void
 {
-    this->awaited.erase(host);
+    this->pendingReplacements.erase(host);
     for (auto *index : { &this->up, &this->dialled }) {
         const auto found = index->find(host);
         if (found != index->end()) {
             const auto link = found->second;
             index->erase(found);
-            this->remove(link);
+            this->removeLink(link);
         }
     }
 }
@@ -114,112 +114,113 @@
     return found == this->up.end() ? nullptr : this->links.at(found->second).get();
 }
 
-auto PeerHub::remove(LinkId link) -> void
+auto PeerHub::removeLink(LinkId link) -> void
 {
-    // Until it is destroyed it may still be read from.
+    // The socket may still deliver data until the link is destroyed.
     this->links.at(link)->abandon();
     this->loop.defer([this, link] { this->links.erase(link); });
 }
 
-auto PeerHub::keepsNew(const PeerLink &present, const PeerLink &coming) const -> bool
+auto PeerHub::prefersNew(const PeerLink &existing, const PeerLink &candidate) const -> bool
 {
-    if (present.peer()->incarnation != coming.peer()->incarnation) {
-        return coming.peer()->incarnation > present.peer()->incarnation;
+    if (existing.peer()->incarnation != candidate.peer()->incarnation) {
+        return candidate.peer()->incarnation > existing.peer()->incarnation;
     }
-    if (present.dialler() == coming.dialler() || present.isDoubtful()) {
+    if (existing.dialler() == candidate.dialler() || existing.isSuspectedSilent()) {
         return true;
     }
-    return coming.dialler() == std::min(this->self.id, coming.peer()->id);
+    return candidate.dialler() == std::min(this->self.id, candidate.peer()->id);
 }
 
-auto PeerHub::introduced(PeerLink &link) -> void
+auto PeerHub::helloReceived(PeerLink &link) -> void
 {
     const auto host = link.peer()->id;
-    const auto asked = this->dialled.find(link.isOfSeed() ? link.dialledHost() : host);
-    if (asked != this->dialled.end() && asked->second == link.linkId()) {
-        this->dialled.erase(asked);
+    const auto dialEntry = this->dialled.find(link.isToSeed() ? link.dialledHost() : host);
+    if (dialEntry != this->dialled.end() && dialEntry->second == link.linkId()) {
+        this->dialled.erase(dialEntry);
     }
-    if (auto *present = this->linkOf(host)) {
-        this->chooseOne(*present, link);
+    if (auto *existing = this->linkOf(host)) {
+        this->resolveDuplicate(*existing, link);
         return;
     }
     this->up[host] = link.linkId();
     ++this->counters.connectionsOpened;
-    const auto awaited = this->awaited.find(host);
-    const auto isSameProcess = awaited != this->awaited.end()
-                               && awaited->second.incarnation == link.peer()->incarnation;
-    this->awaited.erase(host);
+    const auto pending = this->pendingReplacements.find(host);
+    const auto isSameProcess = pending != this->pendingReplacements.end()
+                               && pending->second.incarnation == link.peer()->incarnation;
+    this->pendingReplacements.erase(host);
     if (!isSameProcess) {
         this->log(LogEvent::PeerConnected, "peer=" + link.peer()->name);
         this->post(PeerUp { *link.peer() });
     }
 }
 
-auto PeerHub::chooseOne(PeerLink &present, PeerLink &coming) -> void
+auto PeerHub::resolveDuplicate(PeerLink &existing, PeerLink &candidate) -> void
 {
-    if (!this->keepsNew(present, coming)) {
-        this->remove(coming.linkId());
+    if (!this->prefersNew(existing, candidate)) {
+        this->removeLink(candidate.linkId());
         return;
     }
-    this->remove(present.linkId());
-    this->up[coming.peer()->id] = coming.linkId();
-    if (present.peer()->incarnation != coming.peer()->incarnation) {
-        this->post(PeerUp { *coming.peer() });
+    this->removeLink(existing.linkId());
+    this->up[candidate.peer()->id] = candidate.linkId();
+    if (existing.peer()->incarnation != candidate.peer()->incarnation) {
+        this->post(PeerUp { *candidate.peer() });
     }
 }
 
 auto PeerHub::ended(PeerLink &link, PeerLoss loss) -> void
 {
-    this->remove(link.linkId());
+    this->removeLink(link.linkId());
     if (link.peer()) {
-        this->lost(link, loss);
+        this->endedAfterHello(link, loss);
     } else {
-        this->notIntroduced(link, loss);
+        this->endedBeforeHello(link, loss);
     }
 }
 
-auto PeerHub::lost(const PeerLink &link, PeerLoss loss) -> void
+auto PeerHub::endedAfterHello(const PeerLink &link, PeerLoss loss) -> void
 {
     const auto &member = *link.peer();
     const auto found = this->up.find(member.id);
     if (found == this->up.end() || found->second != link.linkId()) {
-        return; // Replaced by another.
+        return; // Another connection has replaced this one.
     }
     this->up.erase(found);
-    if (loss != PeerLoss::Closed || !this->isComing(member.id)) {
+    if (loss != PeerLoss::Closed || !this->mayBeConnecting(member.id)) {
         this->post(PeerDown { member.id, loss });
         return;
     }
-    auto giveUp = [this, host = member.id] {
-        this->awaited.erase(host);
+    auto reportDown = [this, host = member.id] {
+        this->pendingReplacements.erase(host);
         this->post(PeerDown { host, PeerLoss::Closed });
     };
-    this->awaited[member.id] = { member.incarnation, this->loop.after(awaitTime, giveUp) };
+    this->pendingReplacements[member.id] = { member.incarnation,
+                                             this->loop.after(replacementTimeout, reportDown) };
 }
 
-auto PeerHub::notIntroduced(const PeerLink &link, PeerLoss loss) -> void
+auto PeerHub::endedBeforeHello(const PeerLink &link, PeerLoss loss) -> void
 {
     const auto host = link.dialledHost();
     const auto found = this->dialled.find(host);
     if (found == this->dialled.end() || found->second != link.linkId()) {
-        return; // Accepted.
+        return; // The other host dialled this connection, or it is no longer the current dial.
     }
     this->dialled.erase(found);
-    const auto *present = this->linkOf(host);
-    if (present == nullptr) {
-        if (this->awaited.count(host) == 0) {
+    const auto *existing = this->linkOf(host);
+    if (existing == nullptr) {
+        if (this->pendingReplacements.count(host) == 0) {
             this->post(PeerDown { host, loss });
         }
         return;
     }
-    if (loss == PeerLoss::Refused && present->isDoubtful()) {
-        this->remove(present->linkId());
+    if (loss == PeerLoss::Refused && existing->isSuspectedSilent()) {
+        this->removeLink(existing->linkId());
         this->up.erase(host);
         this->post(PeerDown { host, loss });
     }
 }
 
-auto PeerHub::isComing(HostId host) const -> bool
+auto PeerHub::mayBeConnecting(HostId host) const -> bool
 {
     return this->dialled.count(host) != 0
            || std::any_of(this->links.begin(), this->links.end(), [](const auto &entry) {
--- a/src/net/peerhub.h
+++ b/src/net/peerhub.h
@@ -1,4 +1,4 @@
-/// The connections with other hosts.
+/// Manages the connections to other hosts.
 #pragma once
 
 #include "net/peertraffic.h"
@@ -27,79 +27,81 @@
 struct PeerEndpoints;
 class PeerLink;
 
-/// Keeps at most one connection with each host, dials on demand, and watches for silence.
+/// Keeps at most one connection to each host, dials on demand, and replaces silent connections.
 /// @remarks Not thread safe.
 class PeerHub
 {
 public:
     using Post = std::function<void(Event)>;
-    using LogText = std::function<void(LogEvent, const std::string &)>;
+    using LogCallback = std::function<void(LogEvent, const std::string &)>;
 
-    /// @param self what this host says of itself in `Hello`.
-    /// @param sourceIp IP number to dial from; invalid: the system's choice.
-    PeerHub(Loop &owner, Member self, Address sourceIp, Post report, LogText logger);
+    /// @param self description of this host, sent in `Hello`.
+    /// @param sourceIp IP address to dial from; if invalid, the system selects it.
+    PeerHub(Loop &owner, Member self, Address sourceIp, Post report, LogCallback logger);
     ~PeerHub();
     PeerHub(const PeerHub &) = delete;
     auto operator=(const PeerHub &) -> PeerHub & = delete;
 
-    /// Takes a connection that another host dialled.
+    /// Takes over a connection that another host dialled.
     auto accept(st_h2o_socket_t *connection) -> void;
 
-    /// Dials `host`, unless a connection is up or coming. Precondition: not in a socket's callback.
+    /// Dials `host`, unless it is connected or being dialled.
+    /// Precondition: not called from a socket callback.
     auto connect(HostId host, Address address) -> void;
 
-    /// Dials whatever host takes connections at `address`, unless that is being done.
-    /// Precondition: as above.
+    /// Dials the host that listens on `address`, whose identity is unknown, unless a dial to that
+    /// address is in progress. Precondition: not called from a socket callback.
     auto connectSeed(Address address) -> void;
 
-    /// Closes the connection with `host` without an event. Precondition: as above.
+    /// Closes the connection to `host` without posting an event.
+    /// Precondition: not called from a socket callback.
     auto drop(HostId host) -> void;
 
-    /// Sends a message; dropped where no connection is up. Precondition: none.
+    /// Sends a message, or drops it if `host` is not connected. Precondition: none.
     auto send(HostId host, const Message &message) -> void;
 
-    /// Sends a message to several hosts, encoded once. Precondition: none.
+    /// Sends a message to several hosts; the message is encoded only once. Precondition: none.
     auto send(const std::vector<HostId> &hosts, const Message &message) -> void;
 
-    /// Returns the counters. Precondition: none.
+    /// Returns the traffic counters. Precondition: none.
     [[nodiscard]] auto traffic() const -> const PeerTraffic & { return this->counters; }
 
 private:
     friend class PeerLink;
     using LinkId = std::uint64_t;
 
-    /// A host that closed its connection while another one with it may be coming: it has chosen
-    /// the other, of which this host does not know yet.
-    struct Awaited
+    /// State of a host that closed its connection while another connection to it may be in
+    /// progress: the host kept the other connection, which is not established here yet.
+    struct PendingReplacement
     {
         std::uint64_t incarnation = 0;
-        Timer timer; ///< Until the host is held to be down.
+        Timer timer; ///< Reports the host as down when it expires.
     };
 
-    auto add() -> PeerLink &;
-    auto remove(LinkId link) -> void;
+    auto addLink() -> PeerLink &;
+    auto removeLink(LinkId link) -> void;
     auto linkOf(HostId host) -> PeerLink *;
     auto dial(HostId host, Address address) -> void;
-    auto replace(const PeerLink &link) -> void;
-    auto introduced(PeerLink &link) -> void;
-    auto keepsNew(const PeerLink &present, const PeerLink &coming) const -> bool;
-    auto chooseOne(PeerLink &present, PeerLink &coming) -> void;
+    auto dialReplacement(const PeerLink &link) -> void;
+    auto helloReceived(PeerLink &link) -> void;
+    auto prefersNew(const PeerLink &existing, const PeerLink &candidate) const -> bool;
+    auto resolveDuplicate(PeerLink &existing, PeerLink &candidate) -> void;
     auto ended(PeerLink &link, PeerLoss loss) -> void;
-    auto lost(const PeerLink &link, PeerLoss loss) -> void;
-    auto notIntroduced(const PeerLink &link, PeerLoss loss) -> void;
-    [[nodiscard]] auto isComing(HostId host) const -> bool;
+    auto endedAfterHello(const PeerLink &link, PeerLoss loss) -> void;
+    auto endedBeforeHello(const PeerLink &link, PeerLoss loss) -> void;
+    [[nodiscard]] auto mayBeConnecting(HostId host) const -> bool;
 
     Loop &loop;
     Member self;
     Address source;
     Post post;
-    LogText log;
+    LogCallback log;
     PeerTraffic counters;
     std::unique_ptr<PeerEndpoints> endpoints;
     std::unordered_map<LinkId, std::unique_ptr<PeerLink>> links;
-    std::unordered_map<HostId, LinkId> up;      ///< With both `Hello`s.
-    std::unordered_map<HostId, LinkId> dialled; ///< Still without.
-    std::unordered_map<HostId, Awaited> awaited;
+    std::unordered_map<HostId, LinkId> up;      ///< Connections on which both hosts sent `Hello`.
+    std::unordered_map<HostId, LinkId> dialled; ///< Dialled, `Hello` not yet received.
+    std::unordered_map<HostId, PendingReplacement> pendingReplacements;
     LinkId lastLink = 0;
 };
 
--- a/src/net/peerlink.cpp
+++ b/src/net/peerlink.cpp
@@ -1,4 +1,4 @@
-/// One connection with another host, from dialling or accepting to its end.
+/// One connection to another host, from dialling or accepting it until it ends.
 #include "net/peerlink.h"
 
 #include "net/loop.h"
@@ -17,9 +17,10 @@
 
 constexpr Duration watchPeriod = std::chrono::milliseconds(500);
 constexpr Duration helloTimeout = std::chrono::milliseconds(1000);
-constexpr Duration pingQuiet =
-        std::chrono::milliseconds(600); ///< Then a sign of life is asked for.
-constexpr std::size_t backlogMax = 4 * config::peerMessageMax; ///< A peer that reads nothing.
+/// Time without received bytes after which a ping is sent.
+constexpr Duration pingSilence = std::chrono::milliseconds(600);
+/// Unsent bytes above which the peer is treated as silent, since it does not read.
+constexpr std::size_t backlogMax = 4 * config::peerMessageMax;
 
 auto lossOf(int error) -> PeerLoss
 {
@@ -37,17 +38,17 @@
                                                   config::connectTimeout,
                                                   [this](st_h2o_socket_t *connection, int error) {
                                                       if (connection == nullptr) {
-                                                          this->lose(lossOf(error));
+                                                          this->finish(lossOf(error));
                                                           return;
                                                       }
                                                       this->begin(connection, PeerRole::Dialled);
                                                   });
 }
 
-auto PeerLink::dialSeed(HostId standIn, Address address) -> void
+auto PeerLink::dialSeed(HostId placeholder, Address address) -> void
 {
-    this->takesAnyHost = true;
-    this->dial(standIn, address);
+    this->acceptsAnyHost = true;
+    this->dial(placeholder, address);
 }
 
 auto PeerLink::accept(st_h2o_socket_t *connection) -> void
@@ -81,11 +82,11 @@
 
 auto PeerLink::send(const std::vector<std::uint8_t> &encoded) -> void
 {
-    if (this->socket == nullptr || this->lost) {
+    if (this->socket == nullptr || this->finished) {
         return;
     }
     if (this->socket->backlog() > backlogMax) {
-        this->lose(PeerLoss::Silent);
+        this->finish(PeerLoss::Silent);
         return;
     }
     this->socket->send(encoded);
@@ -93,7 +94,7 @@
 
 auto PeerLink::received(std::string_view bytes) -> void
 {
-    if (this->lost) {
+    if (this->finished) {
         return;
     }
     auto message = decode(std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
@@ -103,13 +104,13 @@
     }
     ++this->hub.counters.messagesReceived;
     if (!this->member) {
-        this->receivedFirst(*message);
+        this->receiveHello(*message);
         return;
     }
     this->hub.post(PeerMessage { this->member->id, std::move(*message) });
 }
 
-auto PeerLink::receivedFirst(const Message &message) -> void
+auto PeerLink::receiveHello(const Message &message) -> void
 {
     const auto *hello = std::get_if<Hello>(&message);
     if (hello == nullptr) {
@@ -117,12 +118,12 @@
         return;
     }
     const auto isOther = this->expected.isValid() && hello->self.id != this->expected;
-    if (isOther && !this->takesAnyHost) {
-        this->lose(PeerLoss::Refused); // Another process has the address now.
+    if (isOther && !this->acceptsAnyHost) {
+        this->finish(PeerLoss::Refused); // Another host now uses the address.
         return;
     }
     this->member = hello->self;
-    this->hub.introduced(*this);
+    this->hub.helloReceived(*this);
 }
 
 auto PeerLink::ended(PeerEnd end, const std::string &why) -> void
@@ -133,12 +134,12 @@
                               + "\"");
     }
     const auto beforeHello = !this->member && end == PeerEnd::Reset;
-    this->lose(beforeHello ? PeerLoss::Refused : PeerLoss::Closed);
+    this->finish(beforeHello ? PeerLoss::Refused : PeerLoss::Closed);
 }
 
-auto PeerLink::lose(PeerLoss loss) -> void
+auto PeerLink::finish(PeerLoss loss) -> void
 {
-    if (std::exchange(this->lost, true)) {
+    if (std::exchange(this->finished, true)) {
         return;
     }
     this->timer.cancel();
@@ -147,28 +148,28 @@
 
 auto PeerLink::abandon() -> void
 {
-    this->lost = true;
+    this->finished = true;
     this->timer.cancel();
 }
 
 auto PeerLink::watch() -> void
 {
-    const auto quiet = this->quietFor();
+    const auto quiet = this->silentFor();
     if (quiet >= (this->member ? Duration(config::silenceTimeout) : helloTimeout)) {
-        this->lose(PeerLoss::Silent);
+        this->finish(PeerLoss::Silent);
         return;
     }
-    if (this->isDoubtful()) {
-        this->hub.replace(*this);
-    } else if (quiet >= pingQuiet) {
+    if (this->isSuspectedSilent()) {
+        this->hub.dialReplacement(*this);
+    } else if (quiet >= pingSilence) {
         this->socket->ping();
     }
     this->timer = this->hub.loop.after(watchPeriod, [this] { this->watch(); });
 }
 
-auto PeerLink::isDoubtful() const -> bool
+auto PeerLink::isSuspectedSilent() const -> bool
 {
-    return this->member && this->quietFor() >= config::silenceTimeout / 2;
+    return this->member && this->silentFor() >= config::silenceTimeout / 2;
 }
 
 auto PeerLink::dialler() const -> HostId
@@ -176,7 +177,7 @@
     return this->expected.isValid() ? this->hub.self.id : this->member->id;
 }
 
-auto PeerLink::quietFor() const -> Duration
+auto PeerLink::silentFor() const -> Duration
 {
     return Loop::now().mono - this->lastByte;
 }
--- a/src/net/peerlink.h
+++ b/src/net/peerlink.h
@@ -1,4 +1,4 @@
-/// One connection with another host, from dialling or accepting to its end.
+/// One connection to another host, from dialling or accepting it until it ends.
 #pragma once
 
 #include "net/connector.h"
@@ -23,8 +23,8 @@
 
 class PeerHub;
 
-/// Exchanges `Hello`s, passes messages on, and ends when nothing comes for too long.
-/// @remarks Not thread safe. Not to be destroyed from within its own callbacks.
+/// Exchanges `Hello`s, passes messages to the hub, and ends when nothing is received for too long.
+/// @remarks Not thread safe. Must not be destroyed from within its own callbacks.
 class PeerLink
 {
 public:
@@ -35,40 +35,41 @@
 
     /// Dials `host`. Precondition: called once, in place of `accept`.
     auto dial(HostId host, Address address) -> void;
-    /// Dials a seed, whose host is not known; `standIn` is its name until then.
-    /// Precondition: called once, in place of `dial`.
-    auto dialSeed(HostId standIn, Address address) -> void;
-    /// Takes a connection that came in. Precondition: called once, in place of `dial`.
+    /// Dials a seed address, whose host is unknown; `placeholder` identifies the host until its
+    /// `Hello`. Precondition: called once, in place of `dial`.
+    auto dialSeed(HostId placeholder, Address address) -> void;
+    /// Takes over an incoming connection. Precondition: called once, in place of `dial`.
     auto accept(st_h2o_socket_t *connection) -> void;
-    /// Takes and reports nothing more: it is to be destroyed. Precondition: none.
+    /// Ignores further input and reports nothing more, so that the link can be destroyed later.
+    /// Precondition: none.
     auto abandon() -> void;
     /// Sends a message. Precondition: none.
     auto send(const Message &message) -> void;
-    /// Sends a message that was encoded. Precondition: as above.
+    /// Sends an encoded message. Precondition: none.
     auto send(const std::vector<std::uint8_t> &encoded) -> void;
 
     [[nodiscard]] auto linkId() const -> std::uint64_t { return this->id; }
-    /// Returns the host that was dialled; invalid where this host was.
+    /// Returns the host that was dialled; invalid if the other host dialled.
     [[nodiscard]] auto dialledHost() const -> HostId { return this->expected; }
-    /// Returns whether a seed was dialled, so that `dialledHost` is a stand-in.
-    [[nodiscard]] auto isOfSeed() const -> bool { return this->takesAnyHost; }
-    /// Returns what the other host said of itself, once it did.
+    /// Returns whether a seed was dialled, in which case `dialledHost` is a placeholder.
+    [[nodiscard]] auto isToSeed() const -> bool { return this->acceptsAnyHost; }
+    /// Returns the other host's description of itself, once its `Hello` was received.
     [[nodiscard]] auto peer() const -> const std::optional<Member> & { return this->member; }
-    /// Returns the host that dialled. Precondition: the other's `Hello` came.
+    /// Returns the host that dialled. Precondition: the other host's `Hello` was received.
     [[nodiscard]] auto dialler() const -> HostId;
-    /// Returns whether the connection has probably gone silent, so that a new one takes its place.
-    [[nodiscard]] auto isDoubtful() const -> bool;
-    /// Returns how long nothing has come.
-    [[nodiscard]] auto quietFor() const -> Duration;
+    /// Returns whether the connection is probably silent and a new one should dialReplacement it.
+    [[nodiscard]] auto isSuspectedSilent() const -> bool;
+    /// Returns the time since the last byte was received.
+    [[nodiscard]] auto silentFor() const -> Duration;
 
 private:
     auto begin(st_h2o_socket_t *connection, PeerRole role) -> void;
     auto opened() -> void;
     auto received(std::string_view bytes) -> void;
-    auto receivedFirst(const Message &message) -> void;
+    auto receiveHello(const Message &message) -> void;
     auto ended(PeerEnd end, const std::string &why) -> void;
     auto watch() -> void;
-    auto lose(PeerLoss loss) -> void;
+    auto finish(PeerLoss loss) -> void;
 
     PeerHub &hub;
     std::uint64_t id;
@@ -78,8 +79,8 @@
     std::optional<Member> member;
     MonoTime lastByte;
     Timer timer;
-    bool takesAnyHost = false;
-    bool lost = false;
+    bool acceptsAnyHost = false;
+    bool finished = false;
 };
 
 } // namespace flamingograde::net
--- a/src/net/peersocket.cpp
+++ b/src/net/peersocket.cpp
@@ -1,4 +1,4 @@
-/// A websocket of websocketpp over a socket of h2o.
+/// A websocketpp websocket on an h2o socket.
 #include "net/peersocket.h"
 
 #include "net/peerendpoints.h"
@@ -24,15 +24,15 @@
 
 } // namespace
 
-/// The state of websocketpp.
+/// The websocketpp connection.
 struct PeerSocket::Websocket
 {
     PeerEndpoints::Connection::ptr connection;
 };
 
 PeerSocket::PeerSocket(st_h2o_socket_t *connection, PeerRole end, PeerEndpoints &endpoints,
-                       PeerTraffic &counters, Callbacks told)
-    : socket(connection), traffic(counters), callbacks(std::move(told)), role(end),
+                       PeerTraffic &counters, Callbacks handlers)
+    : socket(connection), traffic(counters), callbacks(std::move(handlers)), role(end),
       shared(endpoints), websocket(std::make_unique<Websocket>())
 {
     this->socket->data = this;
@@ -48,7 +48,7 @@
         connection->set_fail_handler(nullptr);
         connection->set_close_handler(nullptr);
         connection->set_validate_handler(nullptr);
-        connection->eof(); // Ends its pending read, which holds it.
+        connection->eof(); // Ends its pending read, which keeps the connection alive.
     }
     h2o_socket_close(this->socket);
 }
@@ -60,7 +60,7 @@
     connection = this->role == PeerRole::Accepted ? this->shared.server.get_connection()
                                                   : this->shared.client.get_connection(uri, failed);
     if (connection == nullptr || failed) {
-        this->end(PeerEnd::Malformed, "no websocket can be made");
+        this->end(PeerEnd::Malformed, "no websocket connection could be created");
         return;
     }
     this->setHandlers();
@@ -93,10 +93,10 @@
         return false;
     });
     connection->set_open_handler([this](websocketpp::connection_hdl) { this->callbacks.onOpen(); });
-    connection->set_message_handler(
-            [this](websocketpp::connection_hdl, const PeerEndpoints::Connection::message_ptr &got) {
-                this->callbacks.onMessage(got->get_payload());
-            });
+    connection->set_message_handler([this](websocketpp::connection_hdl,
+                                           const PeerEndpoints::Connection::message_ptr &message) {
+        this->callbacks.onMessage(message->get_payload());
+    });
     connection->set_fail_handler([this](websocketpp::connection_hdl) {
         this->end(PeerEnd::Malformed, this->websocket->connection->get_ec().message());
     });
@@ -143,7 +143,7 @@
 
 auto PeerSocket::backlog() const -> std::size_t
 {
-    return this->pending.size() + this->flight.size();
+    return this->pending.size() + this->inFlight.size();
 }
 
 auto PeerSocket::write(const char *bytes, std::size_t count) -> void
@@ -158,11 +158,11 @@
     if (this->ended || this->pending.empty() || h2o_socket_is_writing(this->socket) != 0) {
         return;
     }
-    this->flight = std::exchange(this->pending, {});
-    auto buffer = h2o_iovec_init(this->flight.data(), this->flight.size());
+    this->inFlight = std::exchange(this->pending, {});
+    auto buffer = h2o_iovec_init(this->inFlight.data(), this->inFlight.size());
     h2o_socket_write(this->socket, &buffer, 1, [](h2o_socket_t *self, const char *error) {
         auto *peer = static_cast<PeerSocket *>(self->data);
-        peer->flight.clear();
+        peer->inFlight.clear();
         if (error != nullptr) {
             peer->end(PeerEnd::Reset, error);
             return;
--- a/src/net/peersocket.h
+++ b/src/net/peersocket.h
@@ -1,4 +1,4 @@
-/// A websocket between two hosts, over a socket of the loop.
+/// A websocket between two hosts, on a socket of the event loop.
 #pragma once
 
 #include <cstddef>
@@ -24,42 +24,42 @@
 
 /// How a websocket ended.
 enum class PeerEnd : std::uint8_t {
-    Reset,     ///< By the other machine's system.
-    Closed,    ///< In order.
-    Malformed, ///< By what came over it.
+    Reset,     ///< By a socket error, such as a TCP reset.
+    Closed,    ///< Closed normally.
+    Malformed, ///< Ended because of invalid input.
 };
 
 /// Sends and receives binary messages. Owns its socket.
-/// @remarks Not thread safe. Not to be destroyed from within its own callbacks.
+/// @remarks Not thread safe. Must not be destroyed from within its own callbacks.
 class PeerSocket
 {
 public:
-    /// What the user is told.
+    /// Callbacks to the owner.
     struct Callbacks
     {
-        std::function<void()> onOpen;                            ///< Messages can be sent.
-        std::function<void(std::string_view)> onMessage;         ///< A whole message came.
-        std::function<void()> onBytes;                           ///< Something came.
-        std::function<void(PeerEnd, const std::string &)> onEnd; ///< Last.
+        std::function<void()> onOpen;                            ///< Messages can now be sent.
+        std::function<void(std::string_view)> onMessage;         ///< A complete message arrived.
+        std::function<void()> onBytes;                           ///< Any bytes arrived.
+        std::function<void(PeerEnd, const std::string &)> onEnd; ///< Called once, last.
     };
 
     /// Takes over `connection`. Precondition: `endpoints` and `counters` outlive this.
     PeerSocket(st_h2o_socket_t *connection, PeerRole end, PeerEndpoints &endpoints,
-               PeerTraffic &counters, Callbacks told);
+               PeerTraffic &counters, Callbacks handlers);
     ~PeerSocket();
     PeerSocket(const PeerSocket &) = delete;
     auto operator=(const PeerSocket &) -> PeerSocket & = delete;
 
-    /// Begins the handshake; callbacks may be called from within. Precondition: called once.
+    /// Starts the handshake; callbacks may run before this returns. Precondition: called once.
     auto start() -> void;
 
-    /// Sends a message; dropped where the websocket is not open. Precondition: none.
+    /// Sends a message, or drops it if the websocket is not open. Precondition: none.
     auto send(const std::vector<std::uint8_t> &message) -> void;
 
-    /// Asks the other end for a sign of life. Precondition: none.
+    /// Sends a websocket ping. Precondition: none.
     auto ping() -> void;
 
-    /// Returns the bytes that wait to be sent.
+    /// Returns the number of bytes not yet sent.
     [[nodiscard]] auto backlog() const -> std::size_t;
 
 private:
@@ -78,7 +78,7 @@
     PeerEndpoints &shared;
     std::unique_ptr<Websocket> websocket;
     std::string pending;
-    std::string flight;
+    std::string inFlight;
     bool ended = false;
 };
 
--- a/src/net/plainget.cpp
+++ b/src/net/plainget.cpp
@@ -1,4 +1,4 @@
-/// One GET whose answer is taken as a whole.
+/// An HTTP GET that delivers its complete answer.
 #include "net/plainget.h"
 
 #include "net/httpcall.h"
@@ -9,16 +9,16 @@
 
 namespace flamingograde::net {
 
-PlainGet::PlainGet(HttpClient &client, const GetRequest &asked, Done callback)
-    : bodyMax(asked.bodyMax), done(std::move(callback))
+PlainGet::PlainGet(HttpClient &client, const GetRequest &request, Done callback)
+    : bodyMax(request.bodyMax), done(std::move(callback))
 {
     HttpRequest sent;
-    sent.target = asked.target;
-    sent.head = getHead(asked.host, asked.path);
-    sent.timeout = asked.timeout;
+    sent.target = request.target;
+    sent.head = getRequestHead(request.host, request.path);
+    sent.timeout = request.timeout;
     sent.fresh = true;
     CallHandlers handlers;
-    handlers.onHead = [this](HttpHead came) { this->head = std::move(came); };
+    handlers.onHead = [this](HttpHead received) { this->head = std::move(received); };
     handlers.onBody = [this](std::string_view bytes) { this->takeBody(bytes); };
     handlers.onEnd = [this](CallEnd end, int /*error*/) {
         this->done(end == CallEnd::Whole ? &this->head : nullptr, this->body);
--- a/src/net/plainget.h
+++ b/src/net/plainget.h
@@ -1,4 +1,4 @@
-/// One GET whose answer is taken as a whole.
+/// An HTTP GET that delivers its complete answer.
 #pragma once
 
 #include "net/httphead.h"
@@ -17,7 +17,7 @@
 class HttpCall;
 class HttpClient;
 
-/// What is asked of whom.
+/// Target and limits of an HTTP GET.
 struct GetRequest
 {
     Address target;
@@ -27,16 +27,16 @@
     std::size_t bodyMax = 0; ///< A larger answer is a failure.
 };
 
-/// Makes one GET. Destroying it drops the call.
-/// @remarks Not thread safe. Not to be destroyed from within its callback.
+/// Makes one GET request. Destroying the object cancels it.
+/// @remarks Not thread safe. Must not be destroyed from within its callback.
 class PlainGet
 {
 public:
-    /// Gets the whole answer, or null.
+    /// Called with the complete answer, or with a null head if the request failed.
     using Done = std::function<void(const HttpHead *, const std::string &body)>;
 
     /// Precondition: `client` outlives this. `callback` is called once.
-    PlainGet(HttpClient &client, const GetRequest &asked, Done callback);
+    PlainGet(HttpClient &client, const GetRequest &request, Done callback);
     ~PlainGet();
     PlainGet(const PlainGet &) = delete;
     auto operator=(const PlainGet &) -> PlainGet & = delete;
--- a/src/net/platformreader.cpp
+++ b/src/net/platformreader.cpp
@@ -34,7 +34,7 @@
     return revision;
 }
 
-/// Returns the time of a header in the form of RFC 9110, or nothing.
+/// Parses an HTTP date (RFC 9110), or returns nothing if it is invalid.
 auto readTime(std::string_view text) -> std::optional<WallTime>
 {
     std::tm parts {};
@@ -60,35 +60,35 @@
 auto PlatformReader::act(const ReadTable &action) -> void
 {
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(action.wait);
-    GetRequest asked;
-    asked.target = this->target;
-    asked.host = this->target.toString();
-    asked.path = "/v1/table?after=" + std::to_string(action.after.number)
-                 + "&wait=" + std::to_string(wait.count());
-    asked.timeout = action.wait + config::platformReadMargin;
-    asked.bodyMax = config::tableBytesMax;
+    GetRequest request;
+    request.target = this->target;
+    request.host = this->target.toString();
+    request.path = "/v1/table?after=" + std::to_string(action.after.number)
+                   + "&wait=" + std::to_string(wait.count());
+    request.timeout = action.wait + config::platformReadMargin;
+    request.bodyMax = config::tableBytesMax;
     this->table = std::make_unique<PlainGet>(
-            this->client, asked,
+            this->client, request,
             [this](const HttpHead *head, const std::string &body) { this->takeTable(head, body); });
 }
 
 auto PlatformReader::act(const ReadHosts & /*action*/) -> void
 {
-    GetRequest asked;
-    asked.target = this->target;
-    asked.host = this->target.toString();
-    asked.path = "/v1/hosts";
-    asked.timeout = config::platformReadMargin;
-    asked.bodyMax = hostListMax;
+    GetRequest request;
+    request.target = this->target;
+    request.host = this->target.toString();
+    request.path = "/v1/hosts";
+    request.timeout = config::platformReadMargin;
+    request.bodyMax = hostListMax;
     this->hosts = std::make_unique<PlainGet>(
-            this->client, asked,
+            this->client, request,
             [this](const HttpHead *head, const std::string &body) { this->takeHosts(head, body); });
 }
 
 auto PlatformReader::takeTable(const HttpHead *head, const std::string &body) -> void
 {
     if (head == nullptr) {
-        this->fail(PlatformRead::Table, "no whole answer");
+        this->fail(PlatformRead::Table, "no whole answer received from the platform");
         return;
     }
     const auto revision = readRevision(head->header("revision"));
@@ -101,7 +101,7 @@
         return;
     }
     if (!revision) {
-        this->fail(PlatformRead::Table, "the header Revision is missing or no number");
+        this->fail(PlatformRead::Table, "the Revision header is missing or no valid number");
         return;
     }
     this->post(TableFetched { *revision, body, readTime(head->header("last-modified")) });
@@ -110,7 +110,7 @@
 auto PlatformReader::takeHosts(const HttpHead *head, const std::string &body) -> void
 {
     if (head == nullptr) {
-        this->fail(PlatformRead::Hosts, "no whole answer");
+        this->fail(PlatformRead::Hosts, "no whole answer received from the platform");
         return;
     }
     if (head->status != statusOk) {
--- a/src/net/platformreader.h
+++ b/src/net/platformreader.h
@@ -17,20 +17,20 @@
 class Loop;
 class PlainGet;
 
-/// Makes one read of each kind at a time; a new one takes the place of one under way.
+/// Runs at most one read of each kind; a new read replaces one in progress.
 /// @remarks Not thread safe.
 class PlatformReader
 {
 public:
     using Post = std::function<void(Event)>;
 
-    /// @param platform where the platform is.
+    /// @param platform address of the platform.
     PlatformReader(Loop &owner, HttpClient &http, Address platform, Post report);
     ~PlatformReader();
     PlatformReader(const PlatformReader &) = delete;
     auto operator=(const PlatformReader &) -> PlatformReader & = delete;
 
-    /// Carries out an action. Precondition: not called from within a callback of h2o.
+    /// Starts the read that the action requests. Precondition: not called from an h2o callback.
     auto act(const ReadTable &action) -> void;
     auto act(const ReadHosts &action) -> void;
 
--- a/src/net/reporter.cpp
+++ b/src/net/reporter.cpp
@@ -1,4 +1,4 @@
-/// The daemon's events on standard output.
+/// Reports the daemon's events on standard output.
 #include "net/reporter.h"
 
 #include <nlohmann/json.hpp>
--- a/src/net/reporter.h
+++ b/src/net/reporter.h
@@ -1,4 +1,4 @@
-/// The daemon's events on standard output.
+/// Reports the daemon's events on standard output.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -7,17 +7,17 @@
 
 namespace flamingograde::net {
 
-/// Where a host listens for other hosts and operators. Other hosts may be told another address.
+/// The addresses a host listens on. The address advertised to other hosts may differ.
 struct BoundAddresses
 {
     Address admin;
     Address peer;
-    Address relay;   ///< Invalid where there are no HTTP rows.
-    Address packets; ///< Invalid where no packets are carried.
-    Address ready;   ///< Invalid where the fabric does not ask.
+    Address relay;   ///< Invalid if there are no HTTP rows.
+    Address packets; ///< Invalid if the host does not forward packets.
+    Address ready;   ///< Invalid without readiness checks.
 };
 
-/// Each writes one JSON object as a line and flushes it. Not thread safe.
+/// Each function writes one JSON object as a line and flushes the stream. Not thread safe.
 auto reportReady(const std::string &host, const BoundAddresses &bound) -> void;
 auto reportListen(Address row, Address bound) -> void;
 auto reportUnlisten(Address row) -> void;
--- a/src/net/request.h
+++ b/src/net/request.h
@@ -1,15 +1,15 @@
-/// A request as it came in.
+/// An incoming request.
 #pragma once
 
 #include <string>
 
 namespace flamingograde::net {
 
-/// What is passed on of a caller's or relaying host's request.
+/// The parts of a request from a caller or a relaying host that are forwarded.
 struct Request
 {
     std::string method;
-    std::string path; ///< With the query.
+    std::string path; ///< Includes the query string.
     std::string contentType;
     std::string accept;
     std::string lastEventId;
--- a/src/net/requesthead.cpp
+++ b/src/net/requesthead.cpp
@@ -1,4 +1,4 @@
-/// The heads of outgoing requests.
+/// Builds the heads (request line and headers) of outgoing requests.
 #include "net/requesthead.h"
 
 #include "net/headernames.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Collects a request's head. Control characters are left out of every part.
+/// Builds a request head. Control characters are removed from every part.
 class HeadWriter
 {
 public:
@@ -63,7 +63,7 @@
     return { digits.data(), end };
 }
 
-/// Adds what every request passes on of its caller's.
+/// Adds the content headers that are forwarded from the caller's request.
 auto addContent(HeadWriter &head, const Request &request) -> void
 {
     head.add("content-type", request.contentType).add("accept", request.accept);
@@ -114,7 +114,7 @@
     return head.finish();
 }
 
-auto getHead(std::string_view host, std::string_view path) -> std::string
+auto getRequestHead(std::string_view host, std::string_view path) -> std::string
 {
     return HeadWriter("GET", path).add("host", host).add("connection", "close").finish();
 }
--- a/src/net/requesthead.h
+++ b/src/net/requesthead.h
@@ -1,4 +1,4 @@
-/// The heads of outgoing requests.
+/// Builds the heads (request line and headers) of outgoing requests.
 #pragma once
 
 #include <flamingograde/action.h>
@@ -17,11 +17,11 @@
 [[nodiscard]] auto requestHead(const Relay &action, const Request &request, std::string_view from)
         -> std::string;
 
-/// Returns the head of the opening of a feed after the event `lastEventId`. Thread safe.
+/// Returns the head of a request that opens a feed after the event `lastEventId`. Thread safe.
 [[nodiscard]] auto requestHead(const OpenFeed &action, const Request &request,
                                std::string_view lastEventId) -> std::string;
 
 /// Returns the head of a plain GET. Thread safe.
-[[nodiscard]] auto getHead(std::string_view host, std::string_view path) -> std::string;
+[[nodiscard]] auto getRequestHead(std::string_view host, std::string_view path) -> std::string;
 
 } // namespace flamingograde::net
--- a/src/net/requestplane.cpp
+++ b/src/net/requestplane.cpp
@@ -1,4 +1,4 @@
-/// What serves the rows of a table over HTTP.
+/// Serves the rows of a table over HTTP.
 #include "net/requestplane.h"
 
 #include "core/overloaded.h"
@@ -29,7 +29,9 @@
 
 auto RequestPlane::act(const Action &action) -> void
 {
-    const auto exchange = [this](const auto &ofExchange) { this->exchanges.act(ofExchange); };
+    const auto exchange = [this](const auto &exchangeAction) {
+        this->exchanges.act(exchangeAction);
+    };
     std::visit(Overloaded { [&](const Dispatch &it) { exchange(it); },
                             [&](const Relay &it) { exchange(it); },
                             [&](const OpenFeed &it) { exchange(it); },
--- a/src/net/requestplane.h
+++ b/src/net/requestplane.h
@@ -1,4 +1,4 @@
-/// What serves the rows of a table over HTTP.
+/// Serves the rows of a table over HTTP.
 #pragma once
 
 #include "net/exchangetransport.h"
@@ -22,9 +22,10 @@
 class HttpClient;
 class Loop;
 
-/// Callers' and other hosts' requests, calls to upstreams, and the platform's table.
+/// Handles requests from callers and other hosts, calls to upstreams, and reads of the platform's
+/// table.
 ///
-/// A host whose platform publishes a directory has none.
+/// Not created on a host whose platform publishes a directory.
 /// @remarks Not thread safe.
 class RequestPlane
 {
@@ -34,19 +35,19 @@
     /// Precondition: `loop` and `client` outlive this.
     RequestPlane(Loop &loop, HttpClient &client, const Settings &settings, const Post &post);
 
-    /// Listens for other hosts' requests.
-    /// @returns the address bound, or why not.
+    /// Listens for requests relayed by other hosts.
+    /// @returns the bound address, or an error message.
     [[nodiscard]] auto open(Address relay) -> tl::expected<Address, std::string>;
 
-    /// Carries out an action that concerns requests; passes over others.
-    /// Precondition: not called from within a callback of h2o.
+    /// Carries out an action that concerns requests; ignores all others.
+    /// Precondition: not called from an h2o callback.
     auto act(const Action &action) -> void;
 
-    /// Ends callers' connections with the next row that is no longer listened for.
+    /// Makes each later `Unlisten` also shut down the callers' connections.
     /// Precondition: none.
     auto beginStop() -> void { this->stopping = true; }
 
-    /// Returns the requests and feeds under way. Precondition: none.
+    /// Returns the number of requests and feeds in progress. Precondition: none.
     [[nodiscard]] auto size() const -> std::size_t { return this->exchanges.size(); }
 
 private:
--- a/src/net/rowlisteners.cpp
+++ b/src/net/rowlisteners.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 RowListeners::RowListeners(Loop &owner, HttpServer &callers, Address services)
-    : loop(owner), server(callers), freePortsOf(services)
+    : loop(owner), server(callers), serviceIp(services)
 {}
 
 auto RowListeners::listen(Address address) -> void
@@ -31,7 +31,7 @@
 
 auto RowListeners::tryListen(Address address) -> bool
 {
-    const auto own = this->freePortsOf.isValid() ? this->freePortsOf : address;
+    const auto own = this->serviceIp.isValid() ? this->serviceIp : address;
     const auto listening = this->server.listen(own, address);
     if (!listening) {
         writeLog(LogEvent::ListenFailed, "why=\"" + listening.error() + "\"");
@@ -54,8 +54,8 @@
 
 auto RowListeners::retry() -> void
 {
-    const auto tried = this->waiting;
-    for (const auto address : tried) {
+    const auto unbound = this->waiting;
+    for (const auto address : unbound) {
         this->tryListen(address);
     }
     if (!this->waiting.empty()) {
--- a/src/net/rowlisteners.h
+++ b/src/net/rowlisteners.h
@@ -13,15 +13,17 @@
 class HttpServer;
 class Loop;
 
-/// Listens for rows and tries again where an address cannot be bound yet.
+/// Listens on the addresses of rows and retries those that cannot be bound yet.
 /// @remarks Not thread safe.
 class RowListeners
 {
 public:
-    /// @param services IP number on whose free ports rows are served; invalid: their own addresses.
+    /// @param services IP address on whose free ports rows are served; if invalid, each row is
+    /// served on its own address.
     RowListeners(Loop &owner, HttpServer &callers, Address services);
 
-    /// Listens for the row at `address`, now or as soon as it can be bound. Precondition: none.
+    /// Listens for the row at `address`, immediately or as soon as it can be bound. Precondition:
+    /// none.
     auto listen(Address address) -> void;
 
     /// Stops listening for the row. Precondition: none.
@@ -33,7 +35,7 @@
 
     Loop &loop;
     HttpServer &server;
-    Address freePortsOf;
+    Address serviceIp;
     std::set<Address> bound;
     std::set<Address> waiting;
     Timer timer;
--- a/src/net/settingsfile.cpp
+++ b/src/net/settingsfile.cpp
@@ -1,4 +1,4 @@
-/// Reading the settings file.
+/// Reads the settings file of a host.
 #include "net/settingsfile.h"
 
 #include <sys/stat.h>
@@ -28,7 +28,7 @@
     return tl::unexpected(std::move(faults));
 }
 
-auto fileState(const std::string &path) -> std::string
+auto fileFingerprint(const std::string &path) -> std::string
 {
     struct stat state = {};
     if (stat(path.c_str(), &state) != 0) {
--- a/src/net/settingsfile.h
+++ b/src/net/settingsfile.h
@@ -1,4 +1,4 @@
-/// The settings file of a host.
+/// Reads the settings file of a host.
 #pragma once
 
 #include "wire/settings.h"
@@ -13,13 +13,13 @@
 namespace flamingograde::net {
 
 /// Reads and checks a settings file.
-/// @returns the settings, or one line for each fault.
+/// @returns the settings, or one message per fault.
 /// @remarks Thread safe.
 [[nodiscard]] auto readSettingsFile(const std::string &path)
         -> tl::expected<Settings, std::vector<std::string>>;
 
-/// Returns a text that differs where the file was changed; empty where it cannot be read.
+/// Returns a fingerprint that changes when the file changes; empty if `stat` fails.
 /// @remarks Thread safe.
-[[nodiscard]] auto fileState(const std::string &path) -> std::string;
+[[nodiscard]] auto fileFingerprint(const std::string &path) -> std::string;
 
 } // namespace flamingograde::net
--- a/src/net/settingswatch.cpp
+++ b/src/net/settingswatch.cpp
@@ -1,4 +1,4 @@
-/// Looks at the settings file from time to time.
+/// Checks the settings file for changes periodically.
 #include "net/settingswatch.h"
 
 #include "net/hostlog.h"
@@ -11,33 +11,34 @@
 
 namespace {
 
-constexpr Duration lookPeriod = std::chrono::seconds(1); ///< One `stat` a second.
+constexpr Duration checkPeriod = std::chrono::seconds(1); ///< One `stat` call per second.
 
 } // namespace
 
 SettingsWatch::SettingsWatch(Loop &owner, std::string file,
                              std::function<void(const Settings &)> handler)
-    : loop(owner), path(std::move(file)), changed(std::move(handler)), state(fileState(this->path))
+    : loop(owner), path(std::move(file)), changed(std::move(handler)),
+      fingerprint(fileFingerprint(this->path))
 {
-    this->wait();
+    this->scheduleCheck();
 }
 
-auto SettingsWatch::wait() -> void
+auto SettingsWatch::scheduleCheck() -> void
 {
-    this->timer = this->loop.after(lookPeriod, [this] { this->look(); });
+    this->timer = this->loop.after(checkPeriod, [this] { this->check(); });
 }
 
-auto SettingsWatch::look() -> void
+auto SettingsWatch::check() -> void
 {
-    if (fileState(this->path) != this->state) {
+    if (fileFingerprint(this->path) != this->fingerprint) {
         this->reload();
     }
-    this->wait();
+    this->scheduleCheck();
 }
 
 auto SettingsWatch::reload() -> void
 {
-    this->state = fileState(this->path);
+    this->fingerprint = fileFingerprint(this->path);
     const auto settings = readSettingsFile(this->path);
     if (settings) {
         writeLog(LogEvent::SettingsRead, "file=" + this->path);
--- a/src/net/settingswatch.h
+++ b/src/net/settingswatch.h
@@ -1,4 +1,4 @@
-/// Settings that change while the host runs.
+/// Reloads the settings file while the host runs.
 #pragma once
 
 #include "net/timer.h"
@@ -11,28 +11,28 @@
 
 class Loop;
 
-/// Reads the settings file anew when it changed, with or without a signal.
+/// Reloads the settings file when it changes or when `reload` is called.
 ///
-/// A file with faults is logged and the settings in force stay.
+/// If the file has faults, they are logged and the current settings stay in force.
 /// @remarks Not thread safe.
 class SettingsWatch
 {
 public:
-    /// @param file the settings file.
-    /// @param handler gets the settings of a changed file.
+    /// @param file path of the settings file.
+    /// @param handler called with the settings after each successful reload.
     SettingsWatch(Loop &owner, std::string file, std::function<void(const Settings &)> handler);
 
-    /// Reads the file now. Precondition: none.
+    /// Reloads the file immediately. Precondition: none.
     auto reload() -> void;
 
 private:
-    auto look() -> void;
-    auto wait() -> void;
+    auto check() -> void;
+    auto scheduleCheck() -> void;
 
     Loop &loop;
     std::string path;
     std::function<void(const Settings &)> changed;
-    std::string state;
+    std::string fingerprint;
     Timer timer;
 };
 
--- a/src/net/signalwatch.cpp
+++ b/src/net/signalwatch.cpp
@@ -1,4 +1,4 @@
-/// Signals as events of the loop.
+/// Delivers signals as events of the event loop.
 #include "net/signalwatch.h"
 
 #include "net/loop.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Blocks the signals and returns a descriptor that gives them.
+/// Blocks the handled signals and returns a signalfd that delivers them.
 auto openSignals() -> int
 {
     std::signal(SIGPIPE, SIG_IGN);
--- a/src/net/signalwatch.h
+++ b/src/net/signalwatch.h
@@ -1,4 +1,4 @@
-/// Signals as events of the loop.
+/// Delivers signals as events of the event loop.
 #pragma once
 
 #include <functional>
@@ -9,13 +9,13 @@
 
 class Loop;
 
-/// Takes SIGTERM, SIGINT and SIGHUP; ignores SIGPIPE.
-/// @remarks Not thread safe. One in a process, made before anything starts a thread.
+/// Handles SIGTERM, SIGINT and SIGHUP; ignores SIGPIPE.
+/// @remarks Not thread safe. Create at most one per process, before any thread is started.
 class SignalWatch
 {
 public:
-    /// @param onTerminate told of SIGTERM and SIGINT.
-    /// @param onReload told of SIGHUP.
+    /// @param onTerminate called on SIGTERM and SIGINT.
+    /// @param onReload called on SIGHUP.
     SignalWatch(Loop &loop, std::function<void()> onTerminate, std::function<void()> onReload);
     ~SignalWatch();
     SignalWatch(const SignalWatch &) = delete;
--- a/src/net/socketaddress.cpp
+++ b/src/net/socketaddress.cpp
@@ -1,4 +1,4 @@
-/// Conversion between addresses of the library and of the system.
+/// Converts between `Address` and `sockaddr_in`.
 #include "net/socketaddress.h"
 
 #include <sys/socket.h>
--- a/src/net/socketaddress.h
+++ b/src/net/socketaddress.h
@@ -1,4 +1,4 @@
-/// Conversion between addresses of the library and of the system.
+/// Converts between `Address` and `sockaddr_in`.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -7,15 +7,15 @@
 
 namespace flamingograde::net {
 
-/// Returns the system's form of `address`.
+/// Converts `address` to a `sockaddr_in`.
 /// @remarks Thread safe.
 [[nodiscard]] auto toSockaddr(Address address) -> sockaddr_in;
 
-/// Returns the library's form of `address`.
+/// Converts `address` to an `Address`.
 /// @remarks Thread safe.
 [[nodiscard]] auto fromSockaddr(const sockaddr_in &address) -> Address;
 
-/// Returns the address that `fd` is bound to; invalid for none.
+/// Returns the address that `fd` is bound to; invalid if it has none.
 /// @remarks Thread safe.
 [[nodiscard]] auto boundAddress(int fd) -> Address;
 
--- a/src/net/storedanswer.cpp
+++ b/src/net/storedanswer.cpp
@@ -1,4 +1,4 @@
-/// The CBOR form of a kept answer.
+/// CBOR encoding of a stored answer.
 #include "net/storedanswer.h"
 
 #include <nlohmann/json.hpp>
--- a/src/net/storedanswer.h
+++ b/src/net/storedanswer.h
@@ -1,4 +1,4 @@
-/// A whole answer that is kept for a repeat of its request.
+/// A complete answer, stored to be replayed when its request is repeated.
 #pragma once
 
 #include "net/httphead.h"
@@ -8,17 +8,17 @@
 
 namespace flamingograde::net {
 
-/// An answer with its body, and its form as one string (CBOR).
+/// An answer with its body; can be encoded as a CBOR string.
 struct StoredAnswer
 {
     HttpHead head;
     std::string body;
 
-    /// Returns the answer as one string. Thread safe.
+    /// Encodes the answer as CBOR. Thread safe.
     [[nodiscard]] auto encode() const -> std::string;
 
-    /// Reads what `encode` made.
-    /// @returns nothing for anything else.
+    /// Decodes the output of `encode`.
+    /// @returns the answer, or nothing if `text` is malformed.
     /// @remarks Thread safe. Throws nothing.
     [[nodiscard]] static auto decode(const std::string &text) -> std::optional<StoredAnswer>;
 };
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,4 +1,4 @@
-/// A single timer of the loop.
+/// A one-shot timer of the event loop.
 #pragma once
 
 #include <flamingograde/clock.h>
@@ -9,7 +9,7 @@
 
 class Loop;
 
-/// Names a task that the loop runs later; cancels it when destroyed.
+/// Handle of a task that the loop runs later; destroying the handle cancels the task.
 /// @remarks Not thread safe. Must not outlive its loop.
 class Timer
 {
@@ -27,7 +27,7 @@
     }
     auto operator=(Timer &&other) noexcept -> Timer &;
 
-    /// Forgets the task, if it has not run. Precondition: none.
+    /// Cancels the task if it has not run yet. Precondition: none.
     auto cancel() -> void;
 
 private:
--- a/src/net/upstreamprober.cpp
+++ b/src/net/upstreamprober.cpp
@@ -1,4 +1,4 @@
-/// Health probes of upstreams.
+/// Probes the health of upstreams.
 #include "net/upstreamprober.h"
 
 #include "net/plainget.h"
@@ -15,7 +15,7 @@
 
 constexpr std::size_t reportMax = 65536;
 
-/// Reads a health endpoint's answer; anything unexpected counts as not healthy.
+/// Parses a health endpoint's answer; anything unexpected counts as unhealthy.
 auto readReport(UpstreamId upstream, const std::string &body) -> UpstreamReport
 {
     UpstreamReport report;
@@ -48,12 +48,12 @@
 
 auto UpstreamProber::act(const ProbeUpstream &action) -> void
 {
-    GetRequest asked;
-    asked.target = action.address;
-    asked.host = action.service;
-    asked.path = "/healthz";
-    asked.timeout = config::upstreamProbePeriod;
-    asked.bodyMax = reportMax;
+    GetRequest request;
+    request.target = action.address;
+    request.host = action.service;
+    request.path = "/healthz";
+    request.timeout = config::upstreamProbePeriod;
+    request.bodyMax = reportMax;
     auto done = [this, upstream = action.upstream](const HttpHead *head, const std::string &body) {
         UpstreamReport unreachable;
         unreachable.upstream = upstream;
@@ -61,7 +61,7 @@
         this->post(head != nullptr ? readReport(upstream, body) : unreachable);
     };
     this->probes[action.upstream] =
-            std::make_unique<PlainGet>(this->client, asked, std::move(done));
+            std::make_unique<PlainGet>(this->client, request, std::move(done));
 }
 
 } // namespace flamingograde::net
--- a/src/net/upstreamprober.h
+++ b/src/net/upstreamprober.h
@@ -1,4 +1,4 @@
-/// Health probes of upstreams.
+/// Probes the health of upstreams.
 #pragma once
 
 #include <flamingograde/action.h>
@@ -13,7 +13,7 @@
 class HttpClient;
 class PlainGet;
 
-/// Makes one probe of an upstream at a time.
+/// Runs at most one probe per upstream; a new probe replaces one in progress.
 /// @remarks Not thread safe.
 class UpstreamProber
 {
@@ -25,7 +25,7 @@
     UpstreamProber(const UpstreamProber &) = delete;
     auto operator=(const UpstreamProber &) -> UpstreamProber & = delete;
 
-    /// Carries out an action. Precondition: not called from within a callback of h2o.
+    /// Starts a probe. Precondition: not called from an h2o callback.
     auto act(const ProbeUpstream &action) -> void;
 
 private:
--- a/tests/net/exchangetests.cpp
+++ b/tests/net/exchangetests.cpp
@@ -1,4 +1,4 @@
-/// Tests of requests that come in, are sent on, and get their answers.
+/// Tests of the exchange transport: incoming requests, forwarding and answers.
 #include "looprun.h"
 #include "scriptserver.h"
 
@@ -27,7 +27,7 @@
 const std::string feedHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                              "Transfer-Encoding: chunked\r\n\r\n";
 
-/// The transport of a host; the test takes the place of the deciding library.
+/// The transport of a host; the test issues the actions that the core library would decide on.
 class Host
 {
 public:
@@ -53,7 +53,7 @@
         return countOf<E>(this->events);
     }
 
-    /// Waits for the next event of a kind and removes it and those before it.
+    /// Waits for the next event of type `E`, then removes it and all events before it.
     template<typename E>
     auto take() -> E
     {
@@ -66,15 +66,15 @@
         return event;
     }
 
-    /// Waits for the next progress of one exchange of several and removes it alone.
+    /// Waits for the next progress event of `exchange` and removes only that event.
     auto takeProgressOf(ExchangeId exchange, Progress progress) -> ExchangeProgress
     {
-        const auto isOfIt = [exchange](const Event &event) {
+        const auto isOfExchange = [exchange](const Event &event) {
             const auto *report = std::get_if<ExchangeProgress>(&event);
             return report != nullptr && report->exchange == exchange;
         };
         const auto find = [&] {
-            return std::find_if(this->events.begin(), this->events.end(), isOfIt);
+            return std::find_if(this->events.begin(), this->events.end(), isOfExchange);
         };
         REQUIRE(runUntil(this->loop, [&] { return find() != this->events.end(); }));
         const auto found = find();
@@ -107,7 +107,7 @@
     Address relayAddress;
 };
 
-/// A caller and what it got.
+/// A caller and the answer it received.
 struct Caller
 {
     std::optional<HttpHead> head;
@@ -123,9 +123,9 @@
         sent.timeout = timeout;
         sent.fresh = true;
         CallHandlers handlers;
-        handlers.onHead = [this](HttpHead came) { this->head = std::move(came); };
+        handlers.onHead = [this](HttpHead received) { this->head = std::move(received); };
         handlers.onBody = [this](std::string_view bytes) { this->body.append(bytes); };
-        handlers.onEnd = [this](CallEnd how, int) { this->end = how; };
+        handlers.onEnd = [this](CallEnd callEnd, int) { this->end = callEnd; };
         this->call = std::make_unique<HttpCall>(host.client, std::move(sent), std::move(handlers));
         this->call->start();
     }
@@ -150,7 +150,7 @@
     return action;
 }
 
-auto openAt(const ScriptServer &server, ExchangeId exchange, std::uint32_t attempt) -> OpenFeed
+auto openFeedAt(const ScriptServer &server, ExchangeId exchange, std::uint32_t attempt) -> OpenFeed
 {
     OpenFeed action;
     action.exchange = exchange;
@@ -167,7 +167,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/// Returns `text` as one chunk.
+/// Encodes `text` as one HTTP chunk.
 auto chunk(const std::string &text) -> std::string
 {
     constexpr std::string_view digits = "0123456789abcdef";
@@ -178,10 +178,11 @@
 
 } // namespace
 
-TEST_CASE("a request is told, dispatched and answered", "[exchange]")
+TEST_CASE("a request is reported, dispatched and answered, and its answer can be replayed",
+          "[exchange]")
 {
     Host host;
-    const ScriptServer upstream(host.loop, whole, Afterwards::Close);
+    const ScriptServer upstream(host.loop, whole, AfterAnswer::Close);
     const Caller caller(host, get, host.callerAddress);
     const auto arrived = host.take<CallerArrived>();
     CHECK(arrived.address == rowAddress);
@@ -226,13 +227,13 @@
     CHECK(second.head->header("set-cookie").empty());
 }
 
-TEST_CASE("an answer that breaks off reaches the caller as broken off", "[exchange]")
+TEST_CASE("a truncated upstream answer reaches the caller as cut", "[exchange]")
 {
     Host host;
     const auto part =
             GENERATE(as<std::string>(), "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello",
                      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
-    const ScriptServer upstream(host.loop, part, Afterwards::Close);
+    const ScriptServer upstream(host.loop, part, AfterAnswer::Close);
     const Caller caller(host, get, host.callerAddress);
     const auto id = host.take<CallerArrived>().exchange;
     host.exchanges.act(dispatchTo(upstream, id));
@@ -247,7 +248,7 @@
     CHECK(host.events.empty());
 }
 
-TEST_CASE("a refusal says why and whether it ran", "[exchange]")
+TEST_CASE("a refusal reaches the caller with its reason, verdict and retry delay", "[exchange]")
 {
     Host host;
     const Caller caller(host, get, host.callerAddress);
@@ -264,10 +265,10 @@
     CHECK(host.events.empty());
 }
 
-TEST_CASE("a caller that leaves is noticed and its call dropped", "[exchange]")
+TEST_CASE("a caller's disconnection is reported and Cancel ends its exchange", "[exchange]")
 {
     Host host;
-    const ScriptServer upstream(host.loop, "", Afterwards::Keep);
+    const ScriptServer upstream(host.loop, "", AfterAnswer::Keep);
     auto caller = std::make_unique<Caller>(host, get, host.callerAddress);
     const auto id = host.take<CallerArrived>().exchange;
     host.exchanges.act(dispatchTo(upstream, id));
@@ -281,10 +282,10 @@
     CHECK(host.events.empty());
 }
 
-TEST_CASE("a call runs on for a caller that left, if it is not dropped", "[exchange]")
+TEST_CASE("a call continues after its caller disconnects unless it is cancelled", "[exchange]")
 {
     Host host;
-    const ScriptServer upstream(host.loop, whole, Afterwards::Keep);
+    const ScriptServer upstream(host.loop, whole, AfterAnswer::Keep);
     auto caller = std::make_unique<Caller>(host, get, host.callerAddress);
     const auto id = host.take<CallerArrived>().exchange;
     auto action = dispatchTo(upstream, id);
@@ -299,10 +300,10 @@
     CHECK(host.exchanges.size() == 0);
 }
 
-TEST_CASE("another attempt takes the place of one that was not sent", "[exchange]")
+TEST_CASE("a request whose first attempt was not sent can be dispatched again", "[exchange]")
 {
     Host host;
-    const ScriptServer upstream(host.loop, whole, Afterwards::Close);
+    const ScriptServer upstream(host.loop, whole, AfterAnswer::Close);
     const Caller caller(host, get, host.callerAddress);
     const auto id = host.take<CallerArrived>().exchange;
     auto late = dispatchTo(upstream, id);
@@ -317,10 +318,10 @@
     CHECK(*caller.end == CallEnd::Whole);
 }
 
-TEST_CASE("an action on a gone exchange reports that nothing was sent", "[exchange]")
+TEST_CASE("a dispatch for an unknown exchange reports that nothing was sent", "[exchange]")
 {
     Host host;
-    const ScriptServer upstream(host.loop, whole, Afterwards::Close);
+    const ScriptServer upstream(host.loop, whole, AfterAnswer::Close);
     host.exchanges.act(dispatchTo(upstream, ExchangeId(99)));
     CHECK(host.takeProgress(Progress::NotSent).exchange == ExchangeId(99));
     host.exchanges.act(PassAnswer { ExchangeId(99), "" });
@@ -328,24 +329,25 @@
     CHECK(host.events.empty());
 }
 
-TEST_CASE("a feed goes on in the same answer after its upstream broke off", "[exchange]")
+TEST_CASE("a reopened feed continues in the same answer after its upstream connection is cut",
+          "[exchange]")
 {
     Host host;
     const ScriptServer first(host.loop,
                              feedHead + chunk("id: 5\ndata: a\n\n") + chunk("id: 6\ndata:"),
-                             GENERATE(Afterwards::Close, Afterwards::Reset));
+                             GENERATE(AfterAnswer::Close, AfterAnswer::Reset));
     const ScriptServer second(host.loop,
                               feedHead + chunk("id: 6\ndata: b\n\nid: 7\ndata: c\n\nid: 8"),
-                              Afterwards::Keep);
+                              AfterAnswer::Keep);
     const Caller caller(host, feed, host.callerAddress);
     const auto id = host.take<CallerArrived>().exchange;
-    host.exchanges.act(openAt(first, id, 1));
+    host.exchanges.act(openFeedAt(first, id, 1));
     host.takeProgress(Progress::Answering);
     host.exchanges.act(PassAnswer { id, "TOK" });
     host.takeProgress(Progress::Cut);
     CHECK(contains(first.received, "last-event-id: 4\r\n"));
 
-    host.exchanges.act(openAt(second, id, 2));
+    host.exchanges.act(openFeedAt(second, id, 2));
     CHECK(host.takeProgress(Progress::Answering).attempt == 2);
     CHECK(contains(second.received, "last-event-id: 5\r\n"));
     const std::string events = ":\n\nid: 5\ndata: a\n\nid: 6\ndata: b\n\nid: 7\ndata: c\n\n";
@@ -362,14 +364,15 @@
     CHECK(host.events.empty());
 }
 
-TEST_CASE("a feed whose upstream ends it is told as broken off", "[exchange]")
+TEST_CASE("a feed ended by its upstream is reported as cut and stays open for the caller",
+          "[exchange]")
 {
     Host host;
     const ScriptServer upstream(host.loop, feedHead + chunk("id: 5\n\n") + "0\r\n\r\n",
-                                Afterwards::Keep);
+                                AfterAnswer::Keep);
     const Caller caller(host, feed, host.callerAddress);
     const auto id = host.take<CallerArrived>().exchange;
-    host.exchanges.act(openAt(upstream, id, 1));
+    host.exchanges.act(openFeedAt(upstream, id, 1));
     host.takeProgress(Progress::Answering);
     host.exchanges.act(PassAnswer { id, "" });
     host.takeProgress(Progress::Cut);
@@ -377,13 +380,13 @@
     CHECK_FALSE(caller.end.has_value());
 }
 
-TEST_CASE("the head of a feed reaches the caller at once", "[exchange]")
+TEST_CASE("the head of a feed reaches the caller before the first event", "[exchange]")
 {
     Host host;
-    const ScriptServer upstream(host.loop, feedHead, Afterwards::Keep);
+    const ScriptServer upstream(host.loop, feedHead, AfterAnswer::Keep);
     const Caller caller(host, feed, host.callerAddress);
     const auto id = host.take<CallerArrived>().exchange;
-    host.exchanges.act(openAt(upstream, id, 1));
+    host.exchanges.act(openFeedAt(upstream, id, 1));
     host.takeProgress(Progress::Answering);
     host.exchanges.act(PassAnswer { id, "TOK" });
     REQUIRE(runUntil(
@@ -392,14 +395,14 @@
     CHECK_FALSE(caller.end.has_value());
 }
 
-TEST_CASE("a quiet feed gets comments", "[exchange]")
+TEST_CASE("an idle feed sends keep-alive comments to the caller", "[exchange]")
 {
     Host host;
     const ScriptServer upstream(host.loop, feedHead + chunk("id: 5\n\n") + chunk("id: 6\nda"),
-                                Afterwards::Keep);
+                                AfterAnswer::Keep);
     const Caller caller(host, feed, host.callerAddress);
     const auto id = host.take<CallerArrived>().exchange;
-    host.exchanges.act(openAt(upstream, id, 1));
+    host.exchanges.act(openFeedAt(upstream, id, 1));
     host.takeProgress(Progress::Answering);
     host.exchanges.act(PassAnswer { id, "" });
     const std::string expected = ":\n\nid: 5\n\n:\n\n";
@@ -407,14 +410,14 @@
     CHECK(caller.body == expected);
 }
 
-TEST_CASE("a refused feed passes its answer as it is", "[exchange]")
+TEST_CASE("an upstream's error answer to a feed reaches the caller unchanged", "[exchange]")
 {
     Host host;
     const ScriptServer upstream(host.loop, "HTTP/1.1 404 No\r\nContent-Length: 3\r\n\r\nno\n",
-                                Afterwards::Keep);
+                                AfterAnswer::Keep);
     const Caller caller(host, feed, host.callerAddress);
     const auto id = host.take<CallerArrived>().exchange;
-    host.exchanges.act(openAt(upstream, id, 1));
+    host.exchanges.act(openFeedAt(upstream, id, 1));
     CHECK(host.takeProgress(Progress::Answering).head->status == 404);
     host.exchanges.act(PassAnswer { id, "" });
     host.takeProgress(Progress::Answered);
@@ -423,11 +426,11 @@
     CHECK(caller.body == "no\n");
 }
 
-TEST_CASE("a relayed request carries what its home needs", "[exchange]")
+TEST_CASE("a relayed request arrives at its home host with all relay headers", "[exchange]")
 {
     Host entry;
-    Host &home = entry; // One process is both; the relay passes through its own relay address.
-    const ScriptServer upstream(entry.loop, whole, Afterwards::Close);
+    Host &home = entry; // One host plays both roles and relays to its own relay address.
+    const ScriptServer upstream(entry.loop, whole, AfterAnswer::Close);
     const Caller caller(entry, get, entry.callerAddress);
     const auto id = entry.take<CallerArrived>().exchange;
     Relay relay;
@@ -448,13 +451,13 @@
     CHECK(arrived.key == "k1");
     CHECK(arrived.remaining == 3s);
 
-    SECTION("the upstream's answer comes back")
+    SECTION("the upstream's answer reaches the caller")
     {
         home.exchanges.act(dispatchTo(upstream, arrived.exchange));
         home.takeProgressOf(arrived.exchange, Progress::Answering);
         CHECK(contains(upstream.received, "GET /a?b=c HTTP/1.1\r\n"));
         home.exchanges.act(PassAnswer { arrived.exchange, "" });
-        // The home's report that all is sent may come before or after the entry's first.
+        // The home host's `Answered` may be reported before or after the entry host's `Answering`.
         const auto report = entry.takeProgressOf(id, Progress::Answering);
         home.takeProgressOf(arrived.exchange, Progress::Answered);
         CHECK_FALSE(report.head->refusal);
@@ -464,7 +467,7 @@
         CHECK(caller.body == "hello");
         CHECK(caller.head->header("flamingograde-verdict") == "run");
     }
-    SECTION("the home's refusal comes back")
+    SECTION("the home host's refusal reaches the entry host")
     {
         home.exchanges.act(
                 Refuse { arrived.exchange, { RefusalReason::WrongHome, Verdict::NotRun, 1s } });
@@ -478,7 +481,7 @@
     }
 }
 
-TEST_CASE("a relay without its headers is refused", "[exchange]")
+TEST_CASE("a relayed request without relay headers is rejected with status 400", "[exchange]")
 {
     Host host;
     const Caller caller(host, get, host.relayAddress);
@@ -487,7 +490,7 @@
     CHECK(host.events.empty());
 }
 
-TEST_CASE("a body above the limit of all rows is refused as not run", "[exchange]")
+TEST_CASE("a body above the size limit of all rows is refused as not run", "[exchange]")
 {
     Host host;
     const Caller caller(host,
@@ -501,14 +504,14 @@
     CHECK(host.events.empty());
 }
 
-TEST_CASE("a large body and a large answer pass whole", "[exchange]")
+TEST_CASE("a large body and a large answer are transferred completely", "[exchange]")
 {
     Host host;
     const std::string body(900000, 'b');
     const std::string answer(5000000, 'a');
     const ScriptServer upstream(host.loop,
                                 "HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n" + answer,
-                                Afterwards::Keep);
+                                AfterAnswer::Keep);
     const Caller caller(host,
                         "POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: 900000\r\n\r\n"
                                 + body.substr(0, body.size() - 4) + "\r\n\r\n",
@@ -525,14 +528,14 @@
     CHECK(caller.body == answer);
 }
 
-TEST_CASE("a caller that reads nothing holds its upstream back", "[exchange]")
+TEST_CASE("a caller that stops reading applies backpressure to its upstream", "[exchange]")
 {
     Host host;
     std::string answer;
     answer.resize(20000000, 'a');
     const ScriptServer upstream(host.loop,
                                 "HTTP/1.1 200 OK\r\nContent-Length: 20000000\r\n\r\n" + answer,
-                                Afterwards::Keep);
+                                AfterAnswer::Keep);
     const Caller caller(host, get, host.callerAddress);
     const auto arrived = host.take<CallerArrived>();
     host.exchanges.act(dispatchTo(upstream, arrived.exchange));
--- a/tests/net/httpcalltests.cpp
+++ b/tests/net/httpcalltests.cpp
@@ -1,4 +1,4 @@
-/// Tests of outgoing calls: what is reported for each way in which they can end.
+/// Tests of outgoing HTTP calls: which result is reported for each way a call can end.
 #include "looprun.h"
 #include "scriptserver.h"
 
@@ -21,7 +21,7 @@
 const std::string whole = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 const std::string chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A call and what it reported.
+/// A call and the results it reported.
 struct Call
 {
     std::optional<HttpHead> head;
@@ -32,9 +32,9 @@
     Call(HttpClient &client, HttpRequest request)
     {
         CallHandlers handlers;
-        handlers.onHead = [this](HttpHead came) { this->head = std::move(came); };
+        handlers.onHead = [this](HttpHead received) { this->head = std::move(received); };
         handlers.onBody = [this](std::string_view bytes) { this->body.append(bytes); };
-        handlers.onEnd = [this](CallEnd how, int) { this->end = how; };
+        handlers.onEnd = [this](CallEnd callEnd, int) { this->end = callEnd; };
         this->call = std::make_unique<HttpCall>(client, std::move(request), std::move(handlers));
         this->call->start();
     }
@@ -49,12 +49,12 @@
     return request;
 }
 
-/// Returns how a call ends to which `script` is answered.
-auto endOf(const std::string &script, Afterwards then) -> std::optional<CallEnd>
+/// Returns how a call ends if the server sends `script` and then does `afterAnswer`.
+auto callEndFor(const std::string &script, AfterAnswer afterAnswer) -> std::optional<CallEnd>
 {
     Loop loop;
     HttpClient client(loop, Address());
-    const ScriptServer server(loop, script, then);
+    const ScriptServer server(loop, script, afterAnswer);
     const Call call(client, requestTo(server.address()));
     runUntil(loop, [&] { return call.end.has_value(); });
     return call.end;
@@ -62,48 +62,51 @@
 
 } // namespace
 
-TEST_CASE("whole answers are whole", "[httpcall]")
+TEST_CASE("a complete answer ends the call as whole", "[httpcall]")
 {
-    CHECK(endOf(whole, Afterwards::Keep) == CallEnd::Whole);
-    CHECK(endOf(whole, Afterwards::Close) == CallEnd::Whole);
-    CHECK(endOf(chunkedHead + "5\r\nhello\r\n0\r\n\r\n", Afterwards::Keep) == CallEnd::Whole);
-    CHECK(endOf(chunkedHead + "5\r\nhello\r\n0\r\n\r\n", Afterwards::Close) == CallEnd::Whole);
-    CHECK(endOf("HTTP/1.1 304 Not Modified\r\nRevision: 3\r\n\r\n", Afterwards::Keep)
+    CHECK(callEndFor(whole, AfterAnswer::Keep) == CallEnd::Whole);
+    CHECK(callEndFor(whole, AfterAnswer::Close) == CallEnd::Whole);
+    CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n0\r\n\r\n", AfterAnswer::Keep) == CallEnd::Whole);
+    CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n0\r\n\r\n", AfterAnswer::Close)
           == CallEnd::Whole);
-    CHECK(endOf("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Afterwards::Keep)
+    CHECK(callEndFor("HTTP/1.1 304 Not Modified\r\nRevision: 3\r\n\r\n", AfterAnswer::Keep)
           == CallEnd::Whole);
-    CHECK(endOf("HTTP/1.1 200 OK\r\n\r\nuntil the end", Afterwards::Close) == CallEnd::Whole);
+    CHECK(callEndFor("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", AfterAnswer::Keep)
+          == CallEnd::Whole);
+    CHECK(callEndFor("HTTP/1.1 200 OK\r\n\r\nuntil the end", AfterAnswer::Close) == CallEnd::Whole);
 }
 
-TEST_CASE("parts of answers are cut", "[httpcall]")
+TEST_CASE("a truncated answer ends the call as cut", "[httpcall]")
 {
-    for (const auto then : { Afterwards::Close, Afterwards::Reset }) {
-        CHECK(endOf("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", then) == CallEnd::Cut);
-        CHECK(endOf("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", then) == CallEnd::Cut);
-        CHECK(endOf(chunkedHead, then) == CallEnd::Cut);
-        CHECK(endOf(chunkedHead + "5\r\nhel", then) == CallEnd::Cut);
-        CHECK(endOf(chunkedHead + "5\r\nhello\r\n", then) == CallEnd::Cut);
-        CHECK(endOf(chunkedHead + "5\r\nhello\r\n0\r\n", then) == CallEnd::Cut);
-        CHECK(endOf(chunkedHead + "nonsense\r\n", then) == CallEnd::Cut);
+    for (const auto afterAnswer : { AfterAnswer::Close, AfterAnswer::Reset }) {
+        CHECK(callEndFor("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", afterAnswer)
+              == CallEnd::Cut);
+        CHECK(callEndFor("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", afterAnswer)
+              == CallEnd::Cut);
+        CHECK(callEndFor(chunkedHead, afterAnswer) == CallEnd::Cut);
+        CHECK(callEndFor(chunkedHead + "5\r\nhel", afterAnswer) == CallEnd::Cut);
+        CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n", afterAnswer) == CallEnd::Cut);
+        CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n0\r\n", afterAnswer) == CallEnd::Cut);
+        CHECK(callEndFor(chunkedHead + "nonsense\r\n", afterAnswer) == CallEnd::Cut);
     }
 }
 
-TEST_CASE("an answer that does not begin is lost", "[httpcall]")
+TEST_CASE("a call ends as lost if the connection ends before a valid head", "[httpcall]")
 {
-    for (const auto then : { Afterwards::Close, Afterwards::Reset }) {
-        CHECK(endOf("", then) == CallEnd::Lost);
-        CHECK(endOf("HTTP/1.1 200 O", then) == CallEnd::Lost);
-        CHECK(endOf("nonsense\r\n\r\n", then) == CallEnd::Lost);
+    for (const auto afterAnswer : { AfterAnswer::Close, AfterAnswer::Reset }) {
+        CHECK(callEndFor("", afterAnswer) == CallEnd::Lost);
+        CHECK(callEndFor("HTTP/1.1 200 O", afterAnswer) == CallEnd::Lost);
+        CHECK(callEndFor("nonsense\r\n\r\n", afterAnswer) == CallEnd::Lost);
     }
 }
 
-TEST_CASE("nothing is sent where nobody listens", "[httpcall]")
+TEST_CASE("a call to a closed port ends as not sent", "[httpcall]")
 {
     Loop loop;
     HttpClient client(loop, Address());
     Address gone;
     {
-        const ScriptServer server(loop, whole, Afterwards::Keep);
+        const ScriptServer server(loop, whole, AfterAnswer::Keep);
         gone = server.address();
     }
     const Call call(client, requestTo(gone));
@@ -111,11 +114,11 @@
     CHECK(*call.end == CallEnd::NotSent);
 }
 
-TEST_CASE("nothing is sent after its time", "[httpcall]")
+TEST_CASE("a call past its latest send time is not sent", "[httpcall]")
 {
     Loop loop;
     HttpClient client(loop, Address());
-    const ScriptServer server(loop, whole, Afterwards::Keep);
+    const ScriptServer server(loop, whole, AfterAnswer::Keep);
     auto request = requestTo(server.address());
     request.notAfter = Loop::now().wall - 1ms;
     const Call late(client, request);
@@ -126,13 +129,13 @@
     CHECK(server.received.empty());
 }
 
-TEST_CASE("a call's time ends it", "[httpcall]")
+TEST_CASE("a call ends when its timeout expires", "[httpcall]")
 {
     Loop loop;
     HttpClient client(loop, Address());
-    const ScriptServer silent(loop, "", Afterwards::Keep);
+    const ScriptServer silent(loop, "", AfterAnswer::Keep);
     const ScriptServer stopping(loop, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello",
-                                Afterwards::Keep);
+                                AfterAnswer::Keep);
     auto first = requestTo(silent.address());
     auto second = requestTo(stopping.address());
     first.timeout = 200ms;
@@ -145,11 +148,11 @@
     CHECK(cut.body == "hello");
 }
 
-TEST_CASE("silence ends a call that may last", "[httpcall]")
+TEST_CASE("a long call ends as cut when its body stalls for the silence limit", "[httpcall]")
 {
     Loop loop;
     HttpClient client(loop, Address());
-    const ScriptServer server(loop, chunkedHead + "5\r\nhello\r\n", Afterwards::Keep);
+    const ScriptServer server(loop, chunkedHead + "5\r\nhello\r\n", AfterAnswer::Keep);
     auto request = requestTo(server.address());
     request.timeout = 1h;
     request.silence = 200ms;
@@ -160,11 +163,11 @@
     CHECK(*call.end == CallEnd::Cut);
 }
 
-TEST_CASE("silence before the head ends a call that may last", "[httpcall]")
+TEST_CASE("a long call ends as lost when no head arrives within the silence limit", "[httpcall]")
 {
     Loop loop;
     HttpClient client(loop, Address());
-    const ScriptServer server(loop, "", Afterwards::Keep);
+    const ScriptServer server(loop, "", AfterAnswer::Keep);
     auto request = requestTo(server.address());
     request.timeout = 1h;
     request.silence = 200ms;
@@ -173,11 +176,11 @@
     CHECK(*call.end == CallEnd::Lost);
 }
 
-TEST_CASE("an idle connection is used again, a fresh one is not", "[httpcall]")
+TEST_CASE("an idle connection is reused unless the call requires a fresh one", "[httpcall]")
 {
     Loop loop;
     HttpClient client(loop, Address());
-    const ScriptServer server(loop, whole, Afterwards::Keep);
+    const ScriptServer server(loop, whole, AfterAnswer::Keep);
     for (auto round = 0; round < 3; ++round) {
         const Call call(client, requestTo(server.address()));
         REQUIRE(runUntil(loop, [&] { return call.end.has_value(); }));
@@ -191,11 +194,11 @@
     CHECK(server.sources.size() == 2);
 }
 
-TEST_CASE("an idle connection that was closed is replaced", "[httpcall]")
+TEST_CASE("an idle connection closed by the server is replaced by a new one", "[httpcall]")
 {
     Loop loop;
     HttpClient client(loop, Address());
-    ScriptServer server(loop, whole, Afterwards::Keep);
+    ScriptServer server(loop, whole, AfterAnswer::Keep);
     const Call first(client, requestTo(server.address()));
     REQUIRE(runUntil(loop, [&] { return first.end.has_value(); }));
     server.closeAll();
@@ -207,18 +210,18 @@
     CHECK(server.sources.size() == 2);
 }
 
-TEST_CASE("the source number is that of the settings", "[httpcall]")
+TEST_CASE("calls are made from the configured source IP address", "[httpcall]")
 {
     Loop loop;
     HttpClient client(loop, *Address::parse("127.0.0.5:0"));
-    const ScriptServer server(loop, whole, Afterwards::Keep);
+    const ScriptServer server(loop, whole, AfterAnswer::Keep);
     const Call call(client, requestTo(server.address()));
     REQUIRE(runUntil(loop, [&] { return call.end.has_value(); }));
     REQUIRE(server.sources.size() == 1);
     CHECK(server.sources[0].ipText() == "127.0.0.5");
 }
 
-TEST_CASE("reading can be stopped and taken up again", "[httpcall]")
+TEST_CASE("a paused call delivers no bytes until it is resumed", "[httpcall]")
 {
     Loop loop;
     HttpClient client(loop, Address());
@@ -226,7 +229,7 @@
     const ScriptServer server(loop,
                               "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(size)
                                       + "\r\n\r\n" + std::string(size, 'x'),
-                              Afterwards::Keep);
+                              AfterAnswer::Keep);
     const Call call(client, requestTo(server.address()));
     REQUIRE(runUntil(loop, [&] { return call.head.has_value(); }));
     call.call->pause();
--- a/tests/net/listenertests.cpp
+++ b/tests/net/listenertests.cpp
@@ -1,4 +1,4 @@
-/// Tests of the listening socket.
+/// Tests of `Listener`.
 #include "looprun.h"
 
 #include "net/connector.h"
@@ -19,20 +19,20 @@
 
 namespace {
 
-/// Leaves the process no descriptor while it lives.
-class NoDescriptors
+/// Prevents the process from opening descriptors during its lifetime.
+class DescriptorExhaustion
 {
 public:
-    NoDescriptors()
+    DescriptorExhaustion()
     {
         getrlimit(RLIMIT_NOFILE, &this->before);
-        auto none = this->before;
-        none.rlim_cur = 0;
-        setrlimit(RLIMIT_NOFILE, &none);
+        auto zeroLimit = this->before;
+        zeroLimit.rlim_cur = 0;
+        setrlimit(RLIMIT_NOFILE, &zeroLimit);
     }
-    ~NoDescriptors() { setrlimit(RLIMIT_NOFILE, &this->before); }
-    NoDescriptors(const NoDescriptors &) = delete;
-    auto operator=(const NoDescriptors &) -> NoDescriptors & = delete;
+    ~DescriptorExhaustion() { setrlimit(RLIMIT_NOFILE, &this->before); }
+    DescriptorExhaustion(const DescriptorExhaustion &) = delete;
+    auto operator=(const DescriptorExhaustion &) -> DescriptorExhaustion & = delete;
 
 private:
     rlimit before {};
@@ -40,7 +40,8 @@
 
 } // namespace
 
-TEST_CASE("a listener without descriptors rests and goes on", "[listener]")
+TEST_CASE("a listener out of descriptors pauses without busy-looping and then resumes",
+          "[listener]")
 {
     Loop loop;
     std::vector<st_h2o_socket_t *> sockets;
@@ -52,7 +53,7 @@
                               [&](st_h2o_socket_t *socket, int) { sockets.push_back(socket); });
     auto turns = 0;
     {
-        const NoDescriptors none;
+        const DescriptorExhaustion exhaustion;
         runUntil(
                 loop,
                 [&] {
@@ -69,7 +70,7 @@
     }
 }
 
-TEST_CASE("an address in use is told", "[listener]")
+TEST_CASE("listening on an address in use fails with an error that names it", "[listener]")
 {
     Loop loop;
     const auto first =
--- a/tests/net/logtests.cpp
+++ b/tests/net/logtests.cpp
@@ -1,4 +1,4 @@
-/// Lines on their way to a slow or stuck reader, and how many may be written.
+/// Tests of the log line buffer, whose reader may be slow or blocked, and of the log rate limit.
 #include "net/lineallowance.h"
 #include "net/linebuffer.h"
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A pipe that nobody reads.
+/// A pipe that is read only by `drain`.
 class Pipe
 {
 public:
@@ -31,7 +31,7 @@
 
     [[nodiscard]] auto input() const -> int { return this->ends[1]; }
 
-    /// Reads all that is there.
+    /// Reads all available bytes without blocking.
     auto drain() -> std::string
     {
         std::string text;
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("lines arrive whole and in order", "[log]")
+TEST_CASE("buffered lines are written completely and in order", "[log]")
 {
     Pipe pipe;
     LineBuffer lines(pipe.input(), 1000);
@@ -64,14 +64,14 @@
     CHECK(lines.takeDropped() == 0);
 }
 
-TEST_CASE("a reader that is stuck costs lines, never time", "[log]")
+TEST_CASE("a blocked reader causes dropped lines but never blocks the writer", "[log]")
 {
     Pipe pipe;
-    constexpr std::size_t most = 20000;
-    LineBuffer lines(pipe.input(), most);
+    constexpr std::size_t capacity = 20000;
+    LineBuffer lines(pipe.input(), capacity);
     const std::string line(99, 'x');
     constexpr int count = 5000;
-    // The pipe takes 64 KB; then the buffer fills; then lines are dropped. No call blocks.
+    // The pipe holds 64 KB. Once it and the buffer are full, lines are dropped. No call blocks.
     for (int i = 0; i < count; ++i) {
         lines.add(line + "\n");
         lines.flush();
@@ -88,7 +88,7 @@
     CHECK(text.size() % 100 == 0);
 }
 
-TEST_CASE("a burst of lines is allowed, then a steady number", "[log]")
+TEST_CASE("a burst of lines is allowed, then a fixed number per second", "[log]")
 {
     LineAllowance allowance(10, 50);
     MonoTime now { 100s };
--- a/tests/net/looprun.h
+++ b/tests/net/looprun.h
@@ -1,4 +1,4 @@
-/// Runs a loop until something has happened.
+/// Helpers that run a loop until a condition holds and count events.
 #pragma once
 
 #include "net/loop.h"
@@ -13,8 +13,8 @@
 
 namespace flamingograde::net {
 
-/// Turns `loop` until `done` holds, at most `longest`.
-/// @returns whether it holds.
+/// Runs turns of `loop` until `done` returns true or `longest` has passed.
+/// @returns whether `done` returned true.
 inline auto runUntil(Loop &loop, const std::function<bool()> &done,
                      Duration longest = std::chrono::seconds(10)) -> bool
 {
@@ -25,7 +25,7 @@
     return done();
 }
 
-/// Returns how many of `events` are of the kind `E`.
+/// Returns the number of `events` of type `E`.
 template<typename E, typename Events>
 [[nodiscard]] auto countOf(const Events &events) -> std::size_t
 {
--- a/tests/net/looptests.cpp
+++ b/tests/net/looptests.cpp
@@ -1,4 +1,4 @@
-/// Tests of the loop.
+/// Tests of the event loop.
 #include "net/loop.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 using namespace flamingograde::net;
 using namespace std::chrono_literals;
 
-TEST_CASE("a turn does not wait after tasks that may have written", "[loop]")
+TEST_CASE("a turn does not wait if the previous turn ran a task that may have written", "[loop]")
 {
     constexpr Duration longest = 3s;
     Loop loop;
@@ -40,10 +40,11 @@
     CHECK(ran == 1);
 }
 
-TEST_CASE("a socket that was written to and closed between two turns is not used again", "[loop]")
+TEST_CASE("a socket written to and closed between two turns is not used after it is freed",
+          "[loop]")
 {
-    constexpr auto overwriteFreed = 0x5a; // So that the use of what was freed shows.
-    mallopt(M_PERTURB, overwriteFreed);
+    constexpr auto freedBytePattern = 0x5a; // Makes a use after free detectable.
+    mallopt(M_PERTURB, freedBytePattern);
     Loop loop;
     std::array<int, 2> ends {};
     REQUIRE(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends.data()) == 0);
--- a/tests/net/main.cpp
+++ b/tests/net/main.cpp
@@ -1,4 +1,4 @@
-/// The tests of the transport, over loopback with free ports.
+/// Runs the transport tests, which use free ports on the loopback interface.
 #define CATCH_CONFIG_RUNNER
 #include <catch2/catch.hpp>
 
--- a/tests/net/peerhubtests.cpp
+++ b/tests/net/peerhubtests.cpp
@@ -1,4 +1,4 @@
-/// Tests of the connections between hosts.
+/// Tests of `PeerHub` and its connections between hosts.
 #include "looprun.h"
 
 #include "net/connector.h"
@@ -23,11 +23,11 @@
 
 namespace {
 
-/// A host with its listener and what it was told.
-class Side
+/// A host with its listener and the events posted to it.
+class TestHost
 {
 public:
-    Side(Loop &loop, const std::string &name, std::uint64_t incarnation = 1)
+    TestHost(Loop &loop, const std::string &name, std::uint64_t incarnation = 1)
     {
         auto opened = Listener::open(
                 loop, *Address::parse("127.0.0.1:0"),
@@ -69,19 +69,19 @@
     std::unique_ptr<PeerHub> hub;
 };
 
-auto isPing(const Side &side, std::uint64_t sequence) -> bool
+auto hasReceivedPing(const TestHost &host, std::uint64_t sequence) -> bool
 {
-    return side.count<PeerMessage>() > 0
-           && std::get<Ping>(side.last<PeerMessage>().message).sequence == sequence;
+    return host.count<PeerMessage>() > 0
+           && std::get<Ping>(host.last<PeerMessage>().message).sequence == sequence;
 }
 
 } // namespace
 
-TEST_CASE("two hosts say hello and talk", "[peerhub]")
+TEST_CASE("two hosts exchange Hello and then messages", "[peerhub]")
 {
     Loop loop;
-    Side a(loop, "a");
-    Side b(loop, "b");
+    TestHost a(loop, "a");
+    TestHost b(loop, "b");
     a.hub->connect(b.self.id, b.self.peer);
     REQUIRE(runUntil(loop, [&] { return a.count<PeerUp>() == 1 && b.count<PeerUp>() == 1; }));
     CHECK(a.last<PeerUp>().member.name == "b");
@@ -89,10 +89,10 @@
     CHECK(b.last<PeerUp>().member.peer == a.self.peer);
 
     a.hub->send(b.self.id, Ping { 7, {} });
-    REQUIRE(runUntil(loop, [&] { return isPing(b, 7); }));
+    REQUIRE(runUntil(loop, [&] { return hasReceivedPing(b, 7); }));
     CHECK(b.last<PeerMessage>().from == a.self.id);
     b.hub->send(a.self.id, Ping { 8, {} });
-    REQUIRE(runUntil(loop, [&] { return isPing(a, 8); }));
+    REQUIRE(runUntil(loop, [&] { return hasReceivedPing(a, 8); }));
 
     const std::string text(config::tableBytesMax, 'x');
     a.hub->send(b.self.id, TableBody { Revision { 3 }, text });
@@ -102,23 +102,24 @@
     CHECK(b.hub->traffic().messagesReceived == 3);
 }
 
-TEST_CASE("a host that is dropped at any step of a dial is down and can be dialled again",
+TEST_CASE("a host dropped at any point of a dial stays disconnected and can be dialled again",
           "[peerhub]")
 {
-    // A Hello that came in the turn of the loop after the drop named a connection that was gone.
-    constexpr int turnsOfDial = 25;
+    // Guards against a `Hello` that arrives in the loop turn after the drop and refers to a
+    // connection that no longer exists.
+    constexpr int dialTurns = 25;
     Loop loop;
-    for (int turns = 0; turns < turnsOfDial; ++turns) {
+    for (int turns = 0; turns < dialTurns; ++turns) {
         INFO("dropped after " << turns << " turns");
-        Side a(loop, "a");
-        Side b(loop, "b");
+        TestHost a(loop, "a");
+        TestHost b(loop, "b");
         a.hub->connect(b.self.id, b.self.peer);
         for (int i = 0; i < turns; ++i) {
             loop.turn(std::chrono::milliseconds(1));
         }
         a.hub->drop(b.self.id);
         const auto isUp = a.count<PeerUp>() == 1;
-        for (int i = 0; i < turnsOfDial; ++i) {
+        for (int i = 0; i < dialTurns; ++i) {
             loop.turn(std::chrono::milliseconds(1));
         }
         CHECK(a.count<PeerUp>() == (isUp ? 1 : 0));
@@ -131,8 +132,8 @@
 TEST_CASE("two hosts that dial each other keep one connection", "[peerhub]")
 {
     Loop loop;
-    Side a(loop, "a");
-    Side b(loop, "b");
+    TestHost a(loop, "a");
+    TestHost b(loop, "b");
     a.hub->connect(b.self.id, b.self.peer);
     b.hub->connect(a.self.id, a.self.peer);
     REQUIRE(runUntil(loop, [&] { return a.count<PeerUp>() == 1 && b.count<PeerUp>() == 1; }));
@@ -142,14 +143,14 @@
     CHECK(b.count<PeerDown>() == 0);
     a.hub->send(b.self.id, Ping { 1, {} });
     b.hub->send(a.self.id, Ping { 2, {} });
-    CHECK(runUntil(loop, [&] { return isPing(b, 1) && isPing(a, 2); }));
+    CHECK(runUntil(loop, [&] { return hasReceivedPing(b, 1) && hasReceivedPing(a, 2); }));
 }
 
-TEST_CASE("a host whose process is gone refuses", "[peerhub]")
+TEST_CASE("dialling a host whose process has exited reports a refused connection", "[peerhub]")
 {
     Loop loop;
-    Side a(loop, "a");
-    auto gone = std::make_unique<Side>(loop, "gone");
+    TestHost a(loop, "a");
+    auto gone = std::make_unique<TestHost>(loop, "gone");
     const auto address = gone->self.peer;
     gone.reset();
     a.hub->connect(HostId::ofName("gone"), address);
@@ -158,11 +159,11 @@
     CHECK(a.last<PeerDown>().host == HostId::ofName("gone"));
 }
 
-TEST_CASE("a connection that the other host closes is down", "[peerhub]")
+TEST_CASE("a connection closed by the other host is reported as down", "[peerhub]")
 {
     Loop loop;
-    Side a(loop, "a");
-    Side b(loop, "b");
+    TestHost a(loop, "a");
+    TestHost b(loop, "b");
     a.hub->connect(b.self.id, b.self.peer);
     REQUIRE(runUntil(loop, [&] { return a.count<PeerUp>() == 1 && b.count<PeerUp>() == 1; }));
     b.hub->drop(a.self.id);
@@ -171,10 +172,10 @@
     CHECK(b.count<PeerDown>() == 0);
 }
 
-TEST_CASE("a machine that accepts and says nothing is silent", "[peerhub]")
+TEST_CASE("a host that accepts a connection but sends nothing is reported as silent", "[peerhub]")
 {
     Loop loop;
-    Side a(loop, "a");
+    TestHost a(loop, "a");
     std::vector<st_h2o_socket_t *> held;
     const auto mute =
             Listener::open(loop, *Address::parse("127.0.0.1:0"),
@@ -188,12 +189,12 @@
     }
 }
 
-TEST_CASE("nonsense from a connection harms nothing", "[peerhub]")
+TEST_CASE("invalid input closes its connection and does not prevent others", "[peerhub]")
 {
     Loop loop;
-    Side a(loop, "a");
-    Side b(loop, "b");
-    for (const std::string nonsense :
+    TestHost a(loop, "a");
+    TestHost b(loop, "b");
+    for (const std::string input :
          { "GET / HTTP/1.1\r\n\r\n", "\0\0\0\0\0\0", "\xff\xfe\r\n\r\n\r\n\r\n",
            "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
            "Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n\r\n" }) {
@@ -203,7 +204,7 @@
                                   [&](st_h2o_socket_t *socket, int) { sender = socket; });
         REQUIRE(runUntil(loop, [&] { return sender != nullptr; }));
         sender->data = &closed;
-        auto buffer = h2o_iovec_init(nonsense.data(), nonsense.size());
+        auto buffer = h2o_iovec_init(input.data(), input.size());
         h2o_socket_write(sender, &buffer, 1, [](h2o_socket_t *, const char *) {});
         h2o_socket_read_start(sender, [](h2o_socket_t *socket, const char *error) {
             *static_cast<bool *>(socket->data) |= error != nullptr;
@@ -216,35 +217,35 @@
     CHECK(runUntil(loop, [&] { return a.count<PeerUp>() == 1 && b.count<PeerUp>() == 1; }));
 }
 
-TEST_CASE("a restarted host takes the place of its former process", "[peerhub]")
+TEST_CASE("a connection from a restarted host replaces that of its former process", "[peerhub]")
 {
     Loop loop;
-    Side a(loop, "a");
-    Side before(loop, "b", 1);
+    TestHost a(loop, "a");
+    TestHost before(loop, "b", 1);
     before.hub->connect(a.self.id, a.self.peer);
     REQUIRE(runUntil(loop, [&] { return a.count<PeerUp>() == 1 && before.count<PeerUp>() == 1; }));
-    Side after(loop, "b", 2);
+    TestHost after(loop, "b", 2);
     after.hub->connect(a.self.id, a.self.peer);
     REQUIRE(runUntil(loop, [&] { return a.count<PeerUp>() == 2 && after.count<PeerUp>() == 1; }));
     CHECK(a.last<PeerUp>().member.incarnation == 2);
     a.hub->send(after.self.id, Ping { 5, {} });
-    CHECK(runUntil(loop, [&] { return isPing(after, 5); }));
+    CHECK(runUntil(loop, [&] { return hasReceivedPing(after, 5); }));
 }
 
 namespace {
 
-/// Passes bytes between its callers and a target, until it is silenced.
-class Relay
+/// Forwards bytes between incoming connections and a target until it is silenced.
+class TcpProxy
 {
 public:
-    Relay(Loop &owner, Address to) : loop(owner), target(to)
+    TcpProxy(Loop &owner, Address to) : loop(owner), target(to)
     {
         auto opened = Listener::open(loop, *Address::parse("127.0.0.1:0"),
                                      [this](st_h2o_socket_t *accepted) { this->accept(accepted); });
         REQUIRE(opened);
         this->listener = std::move(*opened);
     }
-    ~Relay()
+    ~TcpProxy()
     {
         for (const auto &pair : this->pairs) {
             for (auto *socket : pair->sockets) {
@@ -254,10 +255,10 @@
             }
         }
     }
-    Relay(const Relay &) = delete;
-    auto operator=(const Relay &) -> Relay & = delete;
+    TcpProxy(const TcpProxy &) = delete;
+    auto operator=(const TcpProxy &) -> TcpProxy & = delete;
 
-    /// Makes the connections that are open now go silent; new ones work.
+    /// Discards all further bytes on the open connections; new connections work normally.
     auto silence() -> void
     {
         for (const auto &pair : this->pairs) {
@@ -287,7 +288,7 @@
                     pair->sockets[1] = connected;
                     for (auto *socket : pair->sockets) {
                         socket->data = pair;
-                        h2o_socket_read_start(socket, &Relay::pass);
+                        h2o_socket_read_start(socket, &TcpProxy::pass);
                     }
                 });
     }
@@ -301,7 +302,7 @@
             return;
         }
         if (!pair->silent) {
-            // Small enough for the system's buffer, so that it is sent at once.
+            // The data fits into the kernel's send buffer, so the write succeeds immediately.
             REQUIRE(::write(h2o_socket_get_fd(to), from->input->bytes, from->input->size) > 0);
         }
         h2o_buffer_consume(&from->input, from->input->size);
@@ -315,15 +316,15 @@
 
 } // namespace
 
-TEST_CASE("a connection that goes silent is replaced without being down", "[peerhub]")
+TEST_CASE("a silent connection is replaced without reporting the host as down", "[peerhub]")
 {
     Loop loop;
-    Side a(loop, "a");
-    Side b(loop, "b");
-    Relay relay(loop, b.self.peer);
-    a.hub->connect(b.self.id, relay.address());
+    TestHost a(loop, "a");
+    TestHost b(loop, "b");
+    TcpProxy proxy(loop, b.self.peer);
+    a.hub->connect(b.self.id, proxy.address());
     REQUIRE(runUntil(loop, [&] { return a.count<PeerUp>() == 1 && b.count<PeerUp>() == 1; }));
-    relay.silence();
+    proxy.silence();
     const auto replaced = [&] {
         a.hub->send(b.self.id, Ping { 1, {} });
         b.hub->send(a.self.id, Ping { 2, {} });
@@ -340,19 +341,19 @@
     CHECK(b.count<PeerDown>() == 0);
 }
 
-TEST_CASE("a host that goes silent for good is down", "[peerhub]")
+TEST_CASE("a host that stays silent is reported as down", "[peerhub]")
 {
     Loop loop;
-    Side a(loop, "a");
-    Side b(loop, "b");
-    Relay relay(loop, b.self.peer);
-    a.hub->connect(b.self.id, relay.address());
+    TestHost a(loop, "a");
+    TestHost b(loop, "b");
+    TcpProxy proxy(loop, b.self.peer);
+    a.hub->connect(b.self.id, proxy.address());
     REQUIRE(runUntil(loop, [&] { return a.count<PeerUp>() == 1 && b.count<PeerUp>() == 1; }));
-    relay.silence();
+    proxy.silence();
     b.hub.reset();
     const auto before = Loop::now().mono;
     std::vector<st_h2o_socket_t *> held;
-    SECTION("its machine still accepts")
+    SECTION("new connections are accepted but stay silent")
     {
         const auto peer = b.listener->bound();
         b.listener.reset();
@@ -362,7 +363,7 @@
         REQUIRE(runUntil(loop, [&] { return a.count<PeerDown>() == 1; }));
         CHECK(a.last<PeerDown>().loss == PeerLoss::Silent);
     }
-    SECTION("its machine refuses")
+    SECTION("new connections are refused")
     {
         b.listener.reset();
         REQUIRE(runUntil(loop, [&] { return a.count<PeerDown>() == 1; }));
--- a/tests/net/platformreadertests.cpp
+++ b/tests/net/platformreadertests.cpp
@@ -1,4 +1,4 @@
-/// Tests of what is read from the platform's answers.
+/// Tests of parsing the platform's answers.
 #include "looprun.h"
 #include "scriptserver.h"
 
@@ -16,17 +16,17 @@
 
 namespace {
 
-/// Returns the table that the platform gives with `headers`.
-auto tableWith(const std::string &headers) -> TableFetched
+/// Returns the table that is read from an answer with `headers`.
+auto fetchTable(const std::string &headers) -> TableFetched
 {
     Loop loop;
     HttpClient client(loop, Address());
     const ScriptServer server(loop,
                               "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n" + headers + "\r\none",
-                              Afterwards::Keep);
+                              AfterAnswer::Keep);
     std::optional<Event> event;
     PlatformReader reader(loop, client, server.address(),
-                          [&](Event came) { event = std::move(came); });
+                          [&](Event received) { event = std::move(received); });
     reader.act(ReadTable { Revision { 1 }, 0ms });
     runUntil(loop, [&] { return event.has_value(); });
     REQUIRE(event);
@@ -36,12 +36,13 @@
 
 } // namespace
 
-TEST_CASE("a table comes with its revision and time of publication")
+TEST_CASE("a fetched table has the revision and publication time of its headers")
 {
-    const auto told = tableWith("Revision: 7\r\nLast-Modified: Tue, 02 Dec 2025 19:23:20 GMT\r\n");
-    CHECK(told.revision.number == 7);
-    CHECK(told.text == "one");
-    CHECK(told.published == WallTime(1764703400s));
-    CHECK_FALSE(tableWith("Revision: 7\r\n").published);
-    CHECK_FALSE(tableWith("Revision: 7\r\nLast-Modified: yesterday\r\n").published);
+    const auto table =
+            fetchTable("Revision: 7\r\nLast-Modified: Tue, 02 Dec 2025 19:23:20 GMT\r\n");
+    CHECK(table.revision.number == 7);
+    CHECK(table.text == "one");
+    CHECK(table.published == WallTime(1764703400s));
+    CHECK_FALSE(fetchTable("Revision: 7\r\n").published);
+    CHECK_FALSE(fetchTable("Revision: 7\r\nLast-Modified: yesterday\r\n").published);
 }
--- a/tests/net/scriptserver.cpp
+++ b/tests/net/scriptserver.cpp
@@ -1,4 +1,4 @@
-/// A server that answers each connection with bytes given in advance.
+/// A test server that answers every request with a fixed byte string.
 #include "scriptserver.h"
 
 #include "net/listener.h"
@@ -13,7 +13,7 @@
 
 namespace flamingograde::net {
 
-/// One connection; its socket is null once closed.
+/// One connection; `socket` is null after `close`.
 struct ScriptServer::Connection
 {
     ScriptServer *server;
@@ -27,8 +27,8 @@
     }
 };
 
-ScriptServer::ScriptServer(Loop &loop, std::string bytes, Afterwards then)
-    : script(std::move(bytes)), afterwards(then)
+ScriptServer::ScriptServer(Loop &loop, std::string bytes, AfterAnswer after)
+    : script(std::move(bytes)), afterAnswer(after)
 {
     auto opened = Listener::open(loop, *Address::parse("127.0.0.1:0"),
                                  [this](st_h2o_socket_t *socket) { this->accept(socket); });
@@ -80,15 +80,15 @@
     auto buffer = h2o_iovec_init(this->script.data(), this->script.size());
     h2o_socket_write(connection.socket, &buffer, 1, [](h2o_socket_t *self, const char *) {
         auto *written = static_cast<Connection *>(self->data);
-        switch (written->server->afterwards) {
-        case Afterwards::Keep:
+        switch (written->server->afterAnswer) {
+        case AfterAnswer::Keep:
             return;
-        case Afterwards::Reset: {
+        case AfterAnswer::Reset: {
             const linger reset { 1, 0 };
             setsockopt(h2o_socket_get_fd(self), SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
             [[fallthrough]];
         }
-        case Afterwards::Close:
+        case AfterAnswer::Close:
             written->close();
         }
     });
--- a/tests/net/scriptserver.h
+++ b/tests/net/scriptserver.h
@@ -1,4 +1,4 @@
-/// A server that answers each connection with bytes given in advance.
+/// A test server that answers every request with a fixed byte string.
 #pragma once
 
 #include <flamingograde/address.h>
@@ -15,28 +15,28 @@
 class Listener;
 class Loop;
 
-/// What a connection does once its answer is sent.
-enum class Afterwards : std::uint8_t {
+/// What the server does with a connection after sending the answer.
+enum class AfterAnswer : std::uint8_t {
     Keep,
-    Close, ///< In order.
+    Close, ///< Closed normally.
     Reset,
 };
 
-/// Answers every request head with the same bytes.
+/// Answers with the same bytes whenever the received data ends in an empty line.
 class ScriptServer
 {
 public:
-    ScriptServer(Loop &loop, std::string bytes, Afterwards then);
+    ScriptServer(Loop &loop, std::string bytes, AfterAnswer after);
     ~ScriptServer();
     ScriptServer(const ScriptServer &) = delete;
     auto operator=(const ScriptServer &) -> ScriptServer & = delete;
 
     [[nodiscard]] auto address() const -> Address;
 
-    std::string received;         ///< On all connections.
-    std::vector<Address> sources; ///< Of the connections.
+    std::string received;         ///< Bytes received on all connections.
+    std::vector<Address> sources; ///< Source address of each connection.
 
-    /// Closes every connection that is open. Not from a callback.
+    /// Closes every open connection. Must not be called from a callback.
     auto closeAll() -> void;
 
 private:
@@ -46,7 +46,7 @@
     auto answer(Connection &connection) -> void;
 
     std::string script;
-    Afterwards afterwards;
+    AfterAnswer afterAnswer;
     std::unique_ptr<Listener> listener;
     std::vector<std::unique_ptr<Connection>> connections;
 };
