--- a/tests/demo/demo.cpp
+++ b/tests/demo/demo.cpp
@@ -18,7 +18,8 @@
 constexpr Millis progressPeriod { 1000 };
 constexpr Millis pollPeriod { 20 };
 constexpr Millis rolloutLimit { 10000 };
-constexpr Millis drainSettleTime { 2000 }; ///< A draining upstream gets no new work after this.
+/// Time after the rollout of a drain from which the upstream must get no new work.
+constexpr Millis drainSettleTime { 2000 };
 constexpr Millis finishLimit { 60000 };
 
 auto loadDeployment(const std::filesystem::path &file, const nlohmann::json &settings)
--- a/tests/demo/packetdemo.cpp
+++ b/tests/demo/packetdemo.cpp
@@ -21,7 +21,8 @@
 constexpr double requestsPerSecond = 60;  ///< Per zone. Its 2 upstreams of 2 slots can serve 400.
 constexpr Millis changeInterval { 1500 }; ///< Time between two changes.
 constexpr Millis editLimit { 4000 };      ///< An edit must be in force everywhere within this.
-constexpr std::int64_t openingLimitMs = 3000; ///< Limit for new flows to a draining upstream.
+/// Time after the start of a drain from which the upstream must get no new flow.
+constexpr std::int64_t openingLimitMs = 3000;
 
 /// Counters of violations. Each is 0 if all guarantees held.
 constexpr std::array<const char *, 5> violationCounters { "broken_flows", "double_runs",
--- a/tests/harness/fabric.h
+++ b/tests/harness/fabric.h
@@ -69,7 +69,8 @@
     std::map<std::string, MonitoredHost> hosts;
     std::map<std::string, std::string> rowLinks;                 ///< Link name by row address.
     std::map<std::string, std::vector<std::string>> lastTargets; ///< Last sent, by link name.
-    std::shared_ptr<bool> alive = std::make_shared<bool>(true);  ///< Checked by late callbacks.
+    /// Callbacks hold weak pointers to it, by which they detect that the fabric was destroyed.
+    std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
 } // namespace harness
--- a/tests/harness/packetfleet.h
+++ b/tests/harness/packetfleet.h
@@ -46,7 +46,8 @@
     auto drainUpstream(const std::string &name) -> void;
     /// Removes the record of an upstream from the store.
     auto unregisterUpstream(const std::string &name) -> void;
-    /// Publishes the rows under a new version. @returns the store's revision of them.
+    /// Publishes the rows under a new version. @returns the store's revision of the published
+    /// rows.
     auto publishRows() -> std::uint64_t;
 
     /// Starts requests of all kinds, `perSecond` in each zone.
--- a/tests/harness/process.h
+++ b/tests/harness/process.h
@@ -45,7 +45,7 @@
     auto writeLine(const std::string &line) -> void;
     /// Sends a signal. Has no effect if the process has ended.
     auto kill(int signal) -> void;
-    /// Returns the status from `waitpid` once the process has ended.
+    /// Returns the status from `waitpid` once the process has ended; nothing before.
     [[nodiscard]] auto exitStatus() -> std::optional<int>;
     /// Returns whether its standard output has been closed, so that no more lines arrive.
     [[nodiscard]] auto outputEnded() const -> bool;
--- a/tests/unit/admissiontest.cpp
+++ b/tests/unit/admissiontest.cpp
@@ -142,7 +142,7 @@
 {
     SingleUpstreamHome home(1500ms);
     ExchangeId last;
-    for (int i = 0; i < 60; ++i) { // 28 are answered within 1.5 s, two each 100 ms.
+    for (int i = 0; i < 60; ++i) { // 28 are answered within 1.5 s, two every 100 ms.
         last = home.arrive(home.row);
     }
     REQUIRE(home.isRefused(last, RefusalReason::DeadlineUnmet, Verdict::NotRun));
@@ -193,8 +193,8 @@
     for (int i = 0; i < 200; ++i) {
         last = home.arrive(home.row);
     }
-    const auto pause =
-            home.refused.at(last).retryAfter; // Staggered retries of 158 refused requests.
+    // The 158 requests that are refused get staggered Retry-After times; the last gets the longest.
+    const auto pause = home.refused.at(last).retryAfter;
     CHECK(std::chrono::duration<double>(pause).count() == Approx(7.9).margin(0.2));
 }
 
@@ -235,8 +235,8 @@
     CHECK(home.sent.at(fresh).remaining < 1s);
 }
 
-TEST_CASE(
-        "without tenure, requests wait while it is claimed, else they are placed again or refused")
+TEST_CASE("requests wait while the host claims the cell; after its tenure ended, they are placed "
+          "again, or refused if they were relayed")
 {
     CellHome home;
     const auto row = home.addRow("votes");
--- a/tests/unit/cellhome.h
+++ b/tests/unit/cellhome.h
@@ -38,14 +38,14 @@
     std::vector<Upstream> upstreams;
     std::map<UpstreamId, std::uint32_t> running;
     std::map<UpstreamId, std::uint32_t> dispatched;
-    std::map<UpstreamId, std::uint32_t> most; ///< Highest number running at once.
+    std::map<UpstreamId, std::uint32_t> most; ///< Most requests that ran simultaneously.
     std::map<ExchangeId, Refusal> refused;
     std::map<ExchangeId, Dispatch> sent;
     std::map<ExchangeId, std::shared_ptr<const std::string>> replayed;
     std::vector<ExchangeId> order; ///< Exchanges in the order of their dispatch.
     std::vector<ProbeUpstream> probes;
     std::vector<SendPeer> messages;
-    std::vector<ExchangeId> placed;                   ///< Handed back to be placed again.
+    std::vector<ExchangeId> placed;                   ///< Exchanges handed back to be placed again.
     std::function<void(const Dispatch &)> onDispatch; ///< Called for each dispatch.
 
     CellHome() { this->board.now = { MonoTime(1000s), WallTime(1700000000s) }; }
@@ -160,7 +160,7 @@
         this->scheduled.emplace(this->board.now.mono + time, std::move(call));
     }
 
-    /// Adds a request of `row` and admits it.
+    /// Adds a request of `row` and passes it to admission. @returns its exchange.
     auto arrive(const Row &row, const std::string &key = {}, Origin origin = Origin::Caller)
             -> ExchangeId
     {
@@ -170,7 +170,7 @@
         return id;
     }
 
-    /// Adds a request without admitting it.
+    /// Adds a request of `row` without passing it to admission. @returns its exchange.
     auto add(const Row &row, const std::string &key = {}, Origin origin = Origin::Caller)
             -> ExchangeId
     {
@@ -219,7 +219,7 @@
         this->report(exchange, Progress::Answered, whole);
     }
 
-    /// Answers each dispatch after `time`.
+    /// Makes upstreams answer each later dispatch `time` after it.
     auto serveIn(Duration time) -> void
     {
         this->onDispatch = [this, time](const Dispatch &dispatch) {
--- a/tests/unit/chaostest.cpp
+++ b/tests/unit/chaostest.cpp
@@ -1,4 +1,5 @@
-/// Checks under random faults that no vote runs twice and that verdicts about execution are true.
+/// Checks under random faults that no request with a key runs twice, and that verdicts about
+/// execution are true.
 #include "sampletable.h"
 #include "virtualfleet.h"
 
@@ -13,7 +14,7 @@
 
 constexpr std::size_t hostCount = 6;
 
-/// A vote request, and all attempts of its caller to have it executed.
+/// A request with an idempotency key, and all attempts of its caller to have it executed.
 struct Vote
 {
     std::string key;
@@ -136,7 +137,8 @@
 
 } // namespace
 
-TEST_CASE("under random faults no vote runs twice and a not-run verdict is true")
+TEST_CASE("under random faults no keyed request runs twice, and none runs if all its attempts get "
+          "the verdict not-run")
 {
     std::size_t answered = 0;
     std::size_t votes = 0;
--- a/tests/unit/coldsharingtest.cpp
+++ b/tests/unit/coldsharingtest.cpp
@@ -67,7 +67,8 @@
         this->take(update);
     }
 
-    /// Sends an opening packet every 2 ms for `duration`. @returns how largeZone went to zone "a".
+    /// Sends an opening packet every 2 ms for `duration`. @returns how many of them were
+    /// forwarded to upstreams of "live" in zone "a".
     auto sendOpenings(Duration duration) -> std::size_t
     {
         std::size_t cold = 0;
@@ -99,7 +100,8 @@
     ColdBoard host("h1", { "h1" });
     CHECK(host.sendOpenings(500ms) > 0);
     host.restartNearUpstreams();
-    // At most three seconds of the rate and one full bucket for each of the three upstreams.
+    // Each of the three upstreams gets at most its limit per second for three seconds, and the
+    // one request that a full token bucket allows.
     const auto cold = host.sendOpenings(3s);
     CHECK(cold <= 3 * (3 * limitPerSecond + 1));
     CHECK(cold >= 2 * 3 * limitPerSecond);
@@ -116,7 +118,9 @@
     CHECK(host.sendOpenings(200ms) > 0);
 }
 
-TEST_CASE("each cold upstream has one owner in its zone, which uses its whole limit", "[cold]")
+TEST_CASE("each cold upstream has one owner among the hosts of its zone, which uses its whole cold "
+          "limit",
+          "[cold]")
 {
     std::size_t all = 0;
     for (const auto &name : hostNames) {
@@ -128,7 +132,9 @@
     CHECK(all >= 2 * 3 * limitPerSecond);
 }
 
-TEST_CASE("two hosts that both consider themselves owner stay below the bound together", "[cold]")
+TEST_CASE("two hosts that both act as owner of the cold upstreams together exceed the cold limits "
+          "by a bounded amount",
+          "[cold]")
 {
     // Neither host knows the other, as during a network partition of the zone.
     std::size_t sentInOneSecond = 0;
@@ -213,7 +219,8 @@
     CHECK(host.board.directory.coldLimitedCount() == 0);
 }
 
-TEST_CASE("an equal split between 18 hosts gives a cold upstream no request within its cold time",
+TEST_CASE("a cold limit split equally between 18 hosts lets a host send no request within the cold "
+          "time",
           "[cold]")
 {
     std::vector<std::string> largeZone;
--- a/tests/unit/directorycontrollertest.cpp
+++ b/tests/unit/directorycontrollertest.cpp
@@ -40,14 +40,14 @@
 
     auto tick() -> void { this->handle(Tick {}); }
 
-    /// Completes a read with `update`.
+    /// Completes the pending directory read with the result `update`.
     auto completeRead(const DirectoryUpdate &update) -> void
     {
         this->lastRead.reset();
         this->handle(DirectoryRead { update, false });
     }
 
-    /// Fails the pending read.
+    /// Makes the pending directory read fail because the platform does not answer.
     auto failRead() -> void
     {
         this->handle(DirectoryReadFailed { DirectoryFailure::Unreachable, "no answer" });
@@ -61,8 +61,8 @@
         });
     }
 
-    /// Advances time by ticks until the host reads. @returns the time that passed;
-    /// `longest` if the host did not read before.
+    /// Advances time by ticks until the host starts a directory read. @returns the time that
+    /// passed; `longest` if no read started before.
     auto tickUntilRead(Duration longest) -> Duration
     {
         const auto begin = this->board.now.mono;
@@ -244,7 +244,8 @@
     CHECK(host.updatesSentTo(other) == 1);
 }
 
-TEST_CASE("the next read starts at once after a single change, and after a pause during a rollout",
+TEST_CASE("a directory read that returns a change is followed at once by the next read, or after a "
+          "pause if changes come in quick succession",
           "[directory]")
 {
     DirectoryTestHost host;
@@ -257,7 +258,9 @@
     CHECK(host.tickUntilRead(2s) >= config::directoryGather);
 }
 
-TEST_CASE("a host of a small fleet requests newer changes at once", "[directory]")
+TEST_CASE(
+        "a host of a small fleet requests changes as soon as another host reports a newer revision",
+        "[directory]")
 {
     DirectoryTestHost host;
     const auto far = host.addConnectedHost("far", "b");
@@ -285,7 +288,7 @@
     CHECK_FALSE(host.requestsAfterRevision(far, { 11 }));
     CHECK(host.requestsAfterRevision(near, { 11 }));
 
-    host.removeUpstream2(12); // Received changes reset the wait.
+    host.removeUpstream2(12); // The wait for a push restarts when changes are received.
     host.advanceTime(config::directoryAskFar);
     CHECK_FALSE(host.requestsAfterRevision(far, { 13 }));
     host.advanceTime(config::directoryAskFar - 1ms);
@@ -294,7 +297,9 @@
     CHECK(host.requestsAfterRevision(far, { 13 }));
 }
 
-TEST_CASE("a host of a large fleet that has no directory requests it at once", "[directory]")
+TEST_CASE("a host of a large fleet that has no directory requests it as soon as another host "
+          "reports a revision",
+          "[directory]")
 {
     DirectoryTestHost host;
     for (std::size_t i = 0; i < config::flatMembershipHosts; ++i) {
@@ -332,7 +337,8 @@
     CHECK(host.upstream2().presence == Presence::Removed);
 }
 
-TEST_CASE("the host of a zone with the widest link reads, unless its reads fail", "[directory]")
+TEST_CASE("the host with the widest link of its zone reads the directory, unless its reads fail",
+          "[directory]")
 {
     // With this many hosts, some rank before this one by rendezvous hash.
     DirectoryTestHost host;
--- a/tests/unit/directorytest.cpp
+++ b/tests/unit/directorytest.cpp
@@ -103,7 +103,8 @@
     CHECK(gone->presence == Presence::Removed);
 }
 
-TEST_CASE("a draining upstream gets no new flows and is reported as leaving once", "[directory]")
+TEST_CASE("a draining upstream gets no new flows and is reported as leaving only once",
+          "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
     directory.take(whole(9, { record(1, "live", "a", 3) }), start);
@@ -208,7 +209,8 @@
     CHECK(all.evacuations.front().zoneName == "b");
 }
 
-TEST_CASE("many orders for zones without upstreams do not keep a zone with upstreams in service",
+TEST_CASE("many evacuation orders for zones without upstreams do not displace the order for a zone "
+          "with upstreams",
           "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
@@ -289,7 +291,7 @@
 TEST_CASE("of two upstreams with the same cookie, the older one owns it on every host",
           "[directory]")
 {
-    // The halves of both numbers combine to the same 32 bits.
+    // The halves of both instance numbers combine to the same 32-bit cookie.
     const auto older = record(0x0000000100000002, "live", "a", 3);
     const auto younger = record(0x0000000200000001, "live", "a", 5);
     REQUIRE(Cookie::of(older.upstream.instance) == Cookie::of(younger.upstream.instance));
@@ -444,9 +446,7 @@
     CHECK(directory.byCookie(Cookie::of(InstanceId(1)))->record.upstream.serviceName == "live");
 }
 
-TEST_CASE("a removed upstream that still answers keeps its open flows as long as it does, and gets "
-          "no "
-          "new flows",
+TEST_CASE("a removed upstream keeps its open flows as long as it answers, and gets no new flows",
           "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
@@ -458,7 +458,7 @@
     CHECK(changes.missing.size() == 1);
     CHECK(changes.removed.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.empty());
-    // It answers for another 3 s.
+    // The first upstream answers for another 3 s.
     directory.at(0).evidence.heard = start + 3s;
     CHECK(directory.processRemovals(start + 100ms + config::reappearTime).removed.empty());
     CHECK(directory.processRemovals(start + 3s + config::livingFor - 1ms).removed.empty());
--- a/tests/unit/emulationtest.cpp
+++ b/tests/unit/emulationtest.cpp
@@ -101,9 +101,10 @@
 TEST_CASE("a zone that lost upstreams and serves other zones' callers refuses almost no requests",
           "[emulation]")
 {
-    // Guards against keeping new flows in an overloaded zone: worth 0.946 and 516 requests refused
-    // with seed 1. From three requests per slot on, a burst can still fill the queue of 4 per slot:
-    // 3 of 12,500 requests with seed 2.
+    // Guards against keeping new flows in an overloaded zone, which gave a `share()` of 0.946 and
+    // 516 refused requests with seed 1. New flows leave the zone from three requests per slot on,
+    // but a burst can still fill the queue of 4 per slot: with seed 2, 3 of 12,500 requests were
+    // refused.
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         auto day = loadDay("short-zone");
         day.seed = seed;
@@ -152,7 +153,8 @@
     }
 }
 
-TEST_CASE("an evacuated zone gets no new flow after one second, even while hosts restart",
+TEST_CASE("an evacuated zone gets no new flow later than one second after the order, even while "
+          "hosts restart",
           "[emulation][evacuation]")
 {
     for (const auto *kind : { "", "host-stop", "host-kill", "rows" }) {
@@ -348,7 +350,8 @@
 TEST_CASE("all hosts receive changes in time when any two hosts lose access to the store",
           "[emulation]")
 {
-    // Before the readers' watches time out, just after they have failed, and long after.
+    // The change comes before the readers' watches time out, just after they have failed, or long
+    // after.
     const std::vector<Duration> pauses { 200ms, config::directoryWatchWait + 100ms, 5s };
     Emulation sample(dayWithoutTroubles());
     sample.begin();
@@ -399,7 +402,9 @@
     CHECK(result.all.share() > 0.998);
 }
 
-TEST_CASE("four upstreams that drain at once get no new flow after 600 ms", "[emulation]")
+TEST_CASE("four upstreams that drain simultaneously get no new flow later than 600 ms after their "
+          "drain notice",
+          "[emulation]")
 {
     auto day = dayWithoutTroubles();
     auto scaleIn = makeTrouble("scale-in");
--- a/tests/unit/handovertest.cpp
+++ b/tests/unit/handovertest.cpp
@@ -144,7 +144,9 @@
 
 } // namespace
 
-TEST_CASE("replacing every host by graceful stops answers no vote with unknown", "[handover]")
+TEST_CASE("no keyed request gets the verdict unknown when every host is stopped gracefully and "
+          "restarted, one after another",
+          "[handover]")
 {
     VotingFleet fleet(clockSkews(GENERATE(false, true)));
     fleet.sendVotes(2s);
@@ -156,7 +158,9 @@
     CHECK(fleet.checkOutcomes() == 0);
 }
 
-TEST_CASE("two consecutive graceful stops in a zone answer no vote with unknown", "[handover]")
+TEST_CASE(
+        "no keyed request gets the verdict unknown during two consecutive graceful stops in a zone",
+        "[handover]")
 {
     const auto skewed = GENERATE(false, true);
     const auto first = GENERATE(0, 1, 2);
@@ -167,7 +171,9 @@
     CHECK(fleet.checkOutcomes() == 0);
 }
 
-TEST_CASE("two overlapping graceful stops in a zone answer no vote with unknown", "[handover]")
+TEST_CASE(
+        "no keyed request gets the verdict unknown during two overlapping graceful stops in a zone",
+        "[handover]")
 {
     const auto interval = GENERATE(60ms, 150ms, 400ms);
     const auto first = GENERATE(0, 1, 2);
@@ -180,7 +186,8 @@
     CHECK(fleet.checkOutcomes() == 0);
 }
 
-TEST_CASE("a host that joins while another stops gracefully answers no vote with unknown",
+TEST_CASE("no keyed request gets the verdict unknown when a host joins while another stops "
+          "gracefully",
           "[handover]")
 {
     const auto skewed = GENERATE(false, true);
@@ -199,7 +206,8 @@
     CHECK(fleet.checkOutcomes() == 0);
 }
 
-TEST_CASE("killed hosts hand over no keys: some votes get unknown, but none runs twice",
+TEST_CASE("killed hosts hand over no keys: some keyed requests get the verdict unknown, but none "
+          "runs twice",
           "[handover]")
 {
     VotingFleet fleet(clockSkews(GENERATE(false, true)));
@@ -213,7 +221,8 @@
     CHECK(fleet.checkOutcomes() > 0);
 }
 
-TEST_CASE("a home that is killed and restarted within 300 ms runs no vote twice", "[handover]")
+TEST_CASE("a home that is killed and restarted within 300 ms runs no keyed request twice",
+          "[handover]")
 {
     const auto joining = GENERATE(0, 1, 2);
     const auto gap = GENERATE(1ms, 20ms, 300ms);
@@ -230,7 +239,8 @@
     fleet.checkOutcomes();
 }
 
-TEST_CASE("random starts, stops, kills and pauses of hosts run no vote twice", "[handover]")
+TEST_CASE("no keyed request runs twice under random starts, stops, kills and pauses of hosts",
+          "[handover]")
 {
     const auto seed = GENERATE(range<std::uint64_t>(1, 31));
     std::mt19937_64 random(seed);
@@ -269,7 +279,8 @@
     fleet.checkOutcomes();
 }
 
-TEST_CASE("a table change that moves votes to another zone while a host joins runs none twice",
+TEST_CASE("no keyed request runs twice when a table change moves keys to another zone while a host "
+          "joins",
           "[handover]")
 {
     const auto joining = GENERATE(0, 1, 2);
--- a/tests/unit/keymovetest.cpp
+++ b/tests/unit/keymovetest.cpp
@@ -155,7 +155,7 @@
 
 } // namespace
 
-TEST_CASE("draining, adding and removing upstreams makes no key unknown and runs none twice",
+TEST_CASE("draining, adding and removing upstreams makes no verdict unknown and runs no key twice",
           "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -173,7 +173,7 @@
     }
 }
 
-TEST_CASE("three table edits within two seconds make no key unknown and run none twice",
+TEST_CASE("three table edits within two seconds make no verdict unknown and run no key twice",
           "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -212,7 +212,7 @@
     }
 }
 
-TEST_CASE("table edits without publication times make no key unknown and run none twice",
+TEST_CASE("table edits without publication times make no verdict unknown and run no key twice",
           "[keymove]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
--- a/tests/unit/keytest.cpp
+++ b/tests/unit/keytest.cpp
@@ -203,12 +203,12 @@
     REQUIRE(home.messages.size() == 1);
     CHECK(home.messages[0].host == home.former);
     CHECK(!home.isSent(asked));
-    SECTION("unseen, and its tenure began before the key was made")
+    SECTION("unseen, and the former home's tenure began before the key was made")
     {
         home.deliverReport(KeyState::Unseen, 1h);
         CHECK(home.isSent(asked));
     }
-    SECTION("unseen, but its tenure began less than the clock bound before the key")
+    SECTION("unseen, but the former home's tenure began less than the clock bound before the key")
     {
         home.deliverReport(KeyState::Unseen, 5500ms);
         CHECK(home.isUnknown(asked));
--- a/tests/unit/outcometest.cpp
+++ b/tests/unit/outcometest.cpp
@@ -100,7 +100,8 @@
     CHECK(fleet.result(queued).at - start <= 300ms + config::tickPeriod);
 }
 
-TEST_CASE("a running vote continues after its caller left, and a repeat of its key gets the answer")
+TEST_CASE("a running request with a key continues after its caller left, and a repeat of the key "
+          "gets the answer")
 {
     auto fleet = oneHostFleet();
     fleet.serviceTime = 500ms;
@@ -115,7 +116,8 @@
     CHECK(fleet.host(0).stats().exchanges == 0);
 }
 
-TEST_CASE("a vote whose home is unreachable is not relayed, and is refused as not run")
+TEST_CASE("a request with a key whose home is unreachable is not relayed, and is refused with the "
+          "verdict not-run")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
--- a/tests/unit/packetsteeringtest.cpp
+++ b/tests/unit/packetsteeringtest.cpp
@@ -70,7 +70,8 @@
     CHECK(instanceOf(host.open(25, papersAddress)) == 4);
 }
 
-TEST_CASE("a host multiplies its own requests by the hosts of its zone to detect crowding",
+TEST_CASE("a host estimates the load of its zone as its own requests times the number of hosts of "
+          "the zone",
           "[packets]")
 {
     PacketBoard host;
@@ -235,7 +236,8 @@
     CHECK(placed == std::map<std::uint64_t, int> { { 1, 5 }, { 2, 5 }, { 3, 5 } });
 }
 
-TEST_CASE("a missing upstream keeps its open flows and takes new ones if it is the only one",
+TEST_CASE("a missing upstream keeps its open flows and takes new ones if it is the only one of its "
+          "service",
           "[packets]")
 {
     PacketBoard host;
--- a/tests/unit/placementhistorytest.cpp
+++ b/tests/unit/placementhistorytest.cpp
@@ -26,8 +26,8 @@
     return placement;
 }
 
-/// Returns the same, but with so few slots in the other zone that the key of `placeOf` is not
-/// placed there: both zones are active.
+/// Returns the placement of a table in which both zones are active, but the other zone has so few
+/// slots that the key of `placeOf` is placed in `zone`.
 auto mostlyIn(ZoneId zone, std::uint64_t revision, Duration published,
               std::optional<Duration> agreed = {}) -> TablePlacement
 {
@@ -74,7 +74,8 @@
     CHECK(placeOf(history, {}, 60s).since == start + 20s + config::placementDelay);
 }
 
-TEST_CASE("a placement learnt late is not agreed, and merged histories become equal")
+TEST_CASE("a placement learnt late counts as not agreed on by all hosts, and merged histories "
+          "become equal")
 {
     PlacementHistory ours(config::clockBound);
     ours.merge({ mostlyIn(zoneA, 1, 0s), mostlyIn(zoneA, 3, 2s) }, start);
@@ -92,7 +93,8 @@
     CHECK(placeOf(ours, 12s).zone == zoneA);
     CHECK(placeOf(ours, 12s).since == PlacementHistory::never);
     CHECK(placeOf(ours, 10s).since == start + 3s);
-    // The other host's time of agreement is taken over where the predecessor is the same.
+    // A merge takes over the other host's time of agreement on a placement if the placement before
+    // it is the same in both histories.
     CHECK(placeOf(theirs, 10s).since == start + 3s);
 }
 
--- a/tests/unit/silencetest.cpp
+++ b/tests/unit/silencetest.cpp
@@ -365,7 +365,7 @@
 TEST_CASE("a host that may have been cut off resets no open flow", "[silence][lost]")
 {
     // Upstream 1 does not answer at all, or not after the requests are sent, or not until the first
-    // resend, or not between the requests and that, or not between the two resends.
+    // resend, or not between the requests and the first resend, or not between the two resends.
     for (const auto &[before, meanwhile, after] :
          { std::tuple(false, false, false), std::tuple(true, false, false),
            std::tuple(false, false, true), std::tuple(true, false, true),
--- a/tests/unit/stoptest.cpp
+++ b/tests/unit/stoptest.cpp
@@ -7,7 +7,7 @@
 using namespace flamingograde;
 using namespace std::chrono_literals;
 
-TEST_CASE("a stop finishes its requests and ends its feeds without aborting any answer")
+TEST_CASE("a stopping host finishes its requests and ends its feeds without aborting any answer")
 {
     VirtualFleet fleet({ { "a1", "a" }, { "a2", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
@@ -38,7 +38,7 @@
     CHECK(fleet.closedListeners.size() == 4);
 }
 
-TEST_CASE("a stop that times out refuses the remaining requests and reports them")
+TEST_CASE("a host whose stop times out refuses the remaining requests and reports them")
 {
     VirtualFleet fleet({ { "a1", "a" } }, longDeadlineTable());
     fleet.settle();
