--- a/bench/core/benchhost.cpp
+++ b/bench/core/benchhost.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 constexpr auto wallClockStart = 1'800'000'000s;
-constexpr auto settleTime = 15s; ///< Longer than the start-up and the upstream ramp.
+constexpr auto settleTime = 15s; ///< Longer than the start-up and the ramp of cold upstreams.
 constexpr int statusOk = 200;
 
 auto makeMember() -> Member
--- a/bench/fleet/controlcost.cpp
+++ b/bench/fleet/controlcost.cpp
@@ -19,11 +19,11 @@
 constexpr Millis warmUpTimePerHost { 400 }; ///< ...and per host, as each join is gossiped to all.
 constexpr Millis idleTime { 6000 };         ///< Longer than the probe and host-list periods.
 constexpr Millis editsTime { 4000 };
-/// 14 times the design rate, so that the cost of edits is visible.
+/// Time between table edits. Their rate is 14 times the design rate, so that their cost is visible.
 constexpr Millis editPeriod { 1000 };
 constexpr Millis churnTime { 5000 };
 constexpr int rollouts = 3;
-/// Four per zone: two read the platform, two ask other hosts.
+/// Four hosts per zone: two read the table from the platform, two request it from other hosts.
 constexpr std::size_t editHosts = 12;
 
 auto makeWeightEdit(int number) -> std::string
--- a/bench/fleet/directbench.cpp
+++ b/bench/fleet/directbench.cpp
@@ -17,7 +17,7 @@
 constexpr Millis stepTime { 1500 };
 constexpr Millis finishTimeout { 30000 };
 constexpr double latencyRate = 500;
-constexpr double loneRate = 20;      ///< So low that the host is idle between two requests.
+constexpr double loneRate = 20;      ///< Requests per second; the host is idle between them.
 constexpr double initialRate = 8000; ///< Requests per second on kept-alive connections.
 constexpr double initialNewConnectionRate = 2000; ///< Requests per second on new connections.
 constexpr double rateFactor = 1.4;
--- a/bench/fleet/policybench.h
+++ b/bench/fleet/policybench.h
@@ -10,5 +10,6 @@
 /// Runs each policy in policies.toml through each situation there, with the same seeded load. The
 /// results of the first situation are discarded.
 /// @returns for each policy and situation: imbalance of upstreams and rows, goodput, share
-/// answered within the deadline, latency, refusals, and requests over an upstream's slots.
+/// answered within the deadline, latency, refusals, and requests that reached an upstream without
+/// a free slot.
 [[nodiscard]] auto measurePolicies(harness::Loop &loop, const Progress &progress) -> nlohmann::json;
--- a/src/emulator/dayresult.h
+++ b/src/emulator/dayresult.h
@@ -44,10 +44,11 @@
     std::uint64_t wrongService = 0; ///< Flows opened at a service that is not in the row.
     std::uint64_t lateOpenings = 0; ///< Flows opened at a draining upstream after `drainBound`.
     Duration latestOpening { 0 };   ///< Longest time from a drain notice to a new flow.
-    std::uint64_t evacuatedOpenings = 0; ///< Flows opened in an evacuated zone after the bound.
+    std::uint64_t evacuatedOpenings = 0; ///< Flows opened in evacuated zones after `evacuateBound`.
     Duration latestEvacuated { 0 };      ///< Longest time from an evacuation order to a new flow.
-    std::uint64_t coldOverruns = 0;      ///< Openings at a cold upstream that exceed its limit.
-    std::uint64_t coldFailures = 0;      ///< Cold upstream failures caused by `coldOverruns`.
+    std::uint64_t coldOverruns = 0;      ///< Times that the openings at a cold upstream within a
+                                         ///< second exceeded the bound set by `coldExcess`.
+    std::uint64_t coldFailures = 0;      ///< Failures of cold upstreams caused by overruns.
     std::uint64_t coldOpenings = 0;      ///< Openings at cold upstreams that have a limit.
     double coldSeconds = 0;              ///< Total cold time of upstreams that have a limit.
     std::uint64_t sheds = 0;
--- a/src/emulator/emulatedhost.cpp
+++ b/src/emulator/emulatedhost.cpp
@@ -45,7 +45,7 @@
     this->state = HostLife::Starting;
     ++this->startCount;
     this->mesh.at(this->id()).isUnresponsive = false;
-    this->mesh.end(this->id(), PeerLoss::Closed); // Stale connections after power loss.
+    this->mesh.end(this->id(), PeerLoss::Closed); // Ends connections from before a power loss.
     this->clock.later(this->times.start,
                       [this, generation = ++this->currentGeneration] { this->begin(generation); });
 }
--- a/src/emulator/emulatedhost.h
+++ b/src/emulator/emulatedhost.h
@@ -86,7 +86,8 @@
 
     std::uint64_t startCount = 0;
     std::uint64_t packetCount = 0;
-    MonoTime disturbedAt; ///< When it was last not running or had no reliable access to the store.
+    /// When the host was last not running or without reliable answers from the store.
+    MonoTime disturbedAt;
 
 private:
     auto begin(std::uint64_t generation) -> void;
--- a/src/emulator/emulatedstore.h
+++ b/src/emulator/emulatedstore.h
@@ -82,7 +82,7 @@
     Duration staleBy { 0 }; ///< Age of late answers.
     double readsPerSecond = 2000;
     Duration lease { 3600000 }; ///< Three heartbeat intervals.
-    double calls = 0; ///< Weighted number of reads: a read that may be late counts a tenth.
+    double calls = 0;           ///< Weighted number of reads: one with `mayBeLate` counts a tenth.
     std::uint64_t refusedCalls = 0;
 
 private:
--- a/src/emulator/emulatedupstream.h
+++ b/src/emulator/emulatedupstream.h
@@ -77,7 +77,7 @@
 
     struct Flow
     {
-        std::uint64_t generation = 0; ///< Distinguishes it from earlier flows with the same key.
+        std::uint64_t generation = 0; ///< Distinguishes successive flows with the same key.
         bool open = false;
         bool finished = false;
         Cookie cookie;
@@ -122,7 +122,7 @@
     std::deque<Job> waiting;
     std::size_t running = 0;
     std::uint64_t lastGeneration = 0;
-    std::uint32_t processStarts = 1; ///< Process starts; runs from before a restart are ignored.
+    std::uint32_t processStarts = 1; ///< Process starts so far; runs of earlier ones are ignored.
 };
 
 } // namespace flamingograde::emulator
--- a/src/emulator/emulation.h
+++ b/src/emulator/emulation.h
@@ -32,12 +32,12 @@
 {
     std::unique_ptr<EmulatedUpstream> process;
     Place place;
-    Upstream record; ///< The record that it registers.
+    Upstream record; ///< The record that the upstream writes to the store.
     bool sendsHeartbeats = true;
     bool isHeartbeatScheduled = false;
     bool stored = false;                    ///< Whether the store accepted the latest record.
-    std::optional<MonoTime> drainStoredAt;  ///< When the store accepted its draining state.
-    std::optional<MonoTime> disturbedAt;    ///< End of its latest crash or network cut.
+    std::optional<MonoTime> drainStoredAt;  ///< When the store accepted the draining state.
+    std::optional<MonoTime> disturbedAt;    ///< End of the latest crash or cut; may lie ahead.
     std::deque<MonoTime> coldOpenings;      ///< Openings within the last second while it was cold.
     const EmulatedHost *lastHost = nullptr; ///< The host that sent the latest packet.
 };
@@ -74,8 +74,8 @@
     auto failUpstream(std::size_t index, UpstreamLife kind) -> void;
     /// Fails an upstream immediately and restarts it with the same id after `after`.
     auto restartUpstream(std::size_t index, UpstreamLife kind, Duration after) -> void;
-    /// Marks an upstream as disturbed for `duration`: resets of its flows in that time are not
-    /// counted as violations.
+    /// Marks an upstream as disturbed for `duration`: resets of its flows by hosts are not counted
+    /// as violations during that time and for `disturbanceWindow` after it.
     auto disturbUpstream(std::size_t index, Duration duration) -> void;
     /// Evacuates a zone; retries until the store accepts the order.
     auto evacuateZone(const std::string &zone) -> void;
--- a/src/emulator/fabric.h
+++ b/src/emulator/fabric.h
@@ -29,7 +29,7 @@
     auto send(const std::string &zone, const FlowPacket &packet) -> void;
 
     Duration toHost { 3000 }; ///< One-way delay from a caller to a host.
-    std::uint64_t unsent = 0; ///< Packets dropped because there was no host.
+    std::uint64_t unsent = 0; ///< Packets dropped because no zone had a host to send them to.
 
 private:
     struct HostEntry
--- a/src/emulator/peermesh.h
+++ b/src/emulator/peermesh.h
@@ -56,7 +56,8 @@
     auto drop(HostId from, HostId to) -> void;
     /// Closes all connections of a host and notifies its peers of `loss`.
     auto end(HostId host, PeerLoss loss) -> void;
-    /// Closes connections over cut links once hosts would detect it. Precondition: called
+    /// Closes connections over cut links: refused ones at once, silent ones after
+    /// `config::silenceTimeout`, when real hosts detect the silence. Precondition: called
     /// periodically.
     auto review() -> void;
 
@@ -82,7 +83,7 @@
     Network &network;
     std::map<HostId, MeshHost> hosts;
     std::map<Pair, Connection> connections;
-    std::map<Pair, MonoTime> lastArrival; ///< Keeps messages in order, per direction.
+    std::map<Pair, MonoTime> lastArrival; ///< By sender and receiver; keeps messages in order.
     std::uint64_t lastNumber = 0;
 };
 
--- a/src/emulator/randomday.h
+++ b/src/emulator/randomday.h
@@ -13,12 +13,12 @@
 [[nodiscard]] auto randomDay(DayPlan day, std::uint64_t seed) -> DayPlan;
 
 /// Returns `day` with five to thirteen troubles of every kind except evacuations, otherwise like
-/// `randomDay`. Precondition: as above.
+/// `randomDay`. Precondition: the day has two zones and two services.
 /// @remarks Thread safe.
 [[nodiscard]] auto crowdedDay(DayPlan day, std::uint64_t seed) -> DayPlan;
 
 /// Returns `day` with five to thirteen troubles of every kind that `troubleKinds` lists, plus one
-/// to three evacuations. Precondition: as above.
+/// to three evacuations. Precondition: the day has two zones and two services.
 /// @remarks Thread safe.
 [[nodiscard]] auto evacuatedDay(DayPlan day, std::uint64_t seed) -> DayPlan;
 
--- a/src/emulator/virtualclock.h
+++ b/src/emulator/virtualclock.h
@@ -29,7 +29,7 @@
     auto run(Duration duration) -> void;
 
     /// Runs tasks until `done` holds between two tasks, or for at most `maxDuration`.
-    /// @returns the elapsed virtual time, or nothing on time-out.
+    /// @returns the elapsed virtual time, or nothing if `done` did not hold within `maxDuration`.
     /// Precondition: not called from a task.
     auto runUntil(const std::function<bool()> &done, Duration maxDuration)
             -> std::optional<Duration>;
--- a/src/net/admin.h
+++ b/src/net/admin.h
@@ -18,7 +18,8 @@
     std::function<bool()> isServing;      ///< Whether the host has a table and is not stopping.
     std::function<void()> drain;          ///< Starts a graceful shutdown.
     std::function<std::string(Address, const std::string &token, const std::string &key)>
-            explain; ///< Where such a request would go now, and why, as JSON.
+            explain; ///< Where a request to this row address with this token and key would go
+                     ///< now, and why, as JSON.
 };
 
 /// Answers one admin request. Precondition: no part of the response has been sent.
--- a/src/net/daemon.h
+++ b/src/net/daemon.h
@@ -84,7 +84,8 @@
     std::deque<Event> queue;
     MonoTime nextTick;
     bool stopping = false;
-    /// Work left unfinished; set once the shutdown is complete.
+    /// Description of the work that the balancer left unfinished, reported at exit; set once the
+    /// balancer's shutdown is complete.
     std::optional<std::string> unfinished;
     /// Latest exit time, even if responses are still being sent.
     std::optional<MonoTime> exitDeadline;
--- a/src/net/hostlog.cpp
+++ b/src/net/hostlog.cpp
@@ -23,11 +23,11 @@
 namespace {
 
 constexpr std::size_t bufferedBytesMax = 256U << 10U; ///< Lines not yet written to standard output.
-/// 40 KB/s: the rate at which a host logs state changes during a rollout.
+/// Rate limit of the log: 40 KB/s, the rate at which a host logs state changes during a rollout.
 constexpr double linesPerSecond = 200;
-/// Enough for the first directory of 120 upstreams and 350 rows.
+/// Lines allowed at once: enough for the first directory, of 120 upstreams and 350 rows.
 constexpr double lineBurst = 2000;
-/// Covers the 62 new flows per second of the design size.
+/// Rate limit of lines about packets: covers the 62 new flows per second of the design size.
 constexpr double packetLinesPerSecond = 100;
 constexpr double packetLineBurst = 400;
 /// Minimum interval between reports of dropped lines.
--- a/src/net/leavewatch.h
+++ b/src/net/leavewatch.h
@@ -26,8 +26,9 @@
     LeaveWatch(const LeaveWatch &) = delete;
     auto operator=(const LeaveWatch &) -> LeaveWatch & = delete;
 
-    /// Watches `descriptor` on behalf of `exchange`, replacing any earlier exchange, until the
-    /// descriptor is closed. Precondition: the descriptor is open.
+    /// Watches `descriptor`, the socket of the caller of `exchange`, until a disconnection is
+    /// reported or the descriptor is closed. Replaces the exchange of an earlier call with the same
+    /// descriptor. Precondition: the descriptor is open.
     auto watch(int descriptor, ExchangeId exchange) -> void;
 
 private:
--- a/src/net/packetplane.h
+++ b/src/net/packetplane.h
@@ -37,7 +37,8 @@
     /// @returns nothing, or an error message.
     [[nodiscard]] auto open() -> tl::expected<void, std::string>;
 
-    /// Answers a readiness check. Precondition: no response to `request` was started.
+    /// Answers a readiness check: 200 if this host is ready for packets, otherwise 503; 404 if the
+    /// path is not that of the check. Precondition: no response to `request` was started.
     auto answerReadiness(st_h2o_req_t *request) const -> void;
 
     /// Starts reading packets once this host is ready, or `config::packetHoldTimeMax` after `open`.
--- a/src/net/peerhub.h
+++ b/src/net/peerhub.h
@@ -70,8 +70,8 @@
     friend class PeerLink;
     using LinkId = std::uint64_t;
 
-    /// State of a host that closed its connection while another connection to it may be in
-    /// progress: the host kept the other connection, which is not established here yet.
+    /// State of a host that closed its connection while another one, which may be to the same host,
+    /// is being established: the host may have kept that other one in place of the closed one.
     struct PendingReplacement
     {
         std::uint64_t incarnation = 0;
--- a/src/net/peerlink.h
+++ b/src/net/peerlink.h
@@ -23,7 +23,8 @@
 
 class PeerHub;
 
-/// Exchanges `Hello`s, passes messages to the hub, and ends when nothing is received for too long.
+/// Exchanges `Hello`s, passes messages to the hub, and ends when nothing is received for
+/// `config::silenceTimeout`, or for `helloTimeout` before the other host's `Hello`.
 /// @remarks Not thread safe. Must not be destroyed from within its own callbacks.
 class PeerLink
 {
@@ -57,7 +58,8 @@
     [[nodiscard]] auto peer() const -> const std::optional<Member> & { return this->member; }
     /// Returns the host that dialled. Precondition: the other host's `Hello` was received.
     [[nodiscard]] auto dialler() const -> HostId;
-    /// Returns whether the connection is probably silent and a new one should dialReplacement it.
+    /// Returns whether the connection is probably silent, so that a replacement is to be dialled:
+    /// the other host has sent `Hello`, but nothing for at least half of `config::silenceTimeout`.
     [[nodiscard]] auto isSuspectedSilent() const -> bool;
     /// Returns the time since the last byte was received.
     [[nodiscard]] auto silentFor() const -> Duration;
--- a/src/net/peersocket.h
+++ b/src/net/peersocket.h
@@ -25,8 +25,8 @@
 /// How a websocket ended.
 enum class PeerEnd : std::uint8_t {
     Reset,     ///< By a socket error, such as a TCP reset.
-    Closed,    ///< Closed normally.
-    Malformed, ///< Ended because of invalid input.
+    Closed,    ///< By a websocket close without an error code, or by the other host's TCP close.
+    Malformed, ///< Because of a failed handshake or invalid input from the other host.
 };
 
 /// Sends and receives binary messages. Owns its socket.
--- a/src/net/platformreader.h
+++ b/src/net/platformreader.h
@@ -25,13 +25,17 @@
     using Post = std::function<void(Event)>;
 
     /// @param platform address of the platform.
+    /// @param report receives the results of the reads as events.
     PlatformReader(Loop &owner, HttpClient &http, Address platform, Post report);
     ~PlatformReader();
     PlatformReader(const PlatformReader &) = delete;
     auto operator=(const PlatformReader &) -> PlatformReader & = delete;
 
-    /// Starts the read that the action requests. Precondition: not called from an h2o callback.
+    /// Starts to read the table. Reports `TableFetched`, `TableUnchanged` or `PlatformFailed`.
+    /// Precondition: not called from an h2o callback.
     auto act(const ReadTable &action) -> void;
+    /// Starts to read the host list. Reports `HostsFetched` or `PlatformFailed`.
+    /// Precondition: not called from an h2o callback.
     auto act(const ReadHosts &action) -> void;
 
 private:
--- a/src/net/reporter.h
+++ b/src/net/reporter.h
@@ -18,6 +18,7 @@
 };
 
 /// Each function writes one JSON object as a line and flushes the stream. Not thread safe.
+/// `left` in `reportStopped` describes the work that the shutdown left unfinished.
 auto reportReady(const std::string &host, const BoundAddresses &bound) -> void;
 auto reportListen(Address row, Address bound) -> void;
 auto reportUnlisten(Address row) -> void;
--- a/src/net/upstreamprober.h
+++ b/src/net/upstreamprober.h
@@ -25,7 +25,8 @@
     UpstreamProber(const UpstreamProber &) = delete;
     auto operator=(const UpstreamProber &) -> UpstreamProber & = delete;
 
-    /// Starts a probe. Precondition: not called from an h2o callback.
+    /// Starts a probe, whose result is posted as an `UpstreamReport`, also if the upstream does not
+    /// answer. Precondition: not called from an h2o callback.
     auto act(const ProbeUpstream &action) -> void;
 
 private:
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -27,7 +27,7 @@
     Init init; ///< Passed to the balancer. In `self`, an advertised address that the file does
                ///< not name is invalid.
     bool servicesFromTable = true; ///< Listen for each row at its own address in the table.
-    Address services;              ///< Else: IP address whose free ports rows listen on.
+    Address services;              ///< Unless `servicesFromTable`: rows use free ports of this IP.
     Address peer;                  ///< Listening address for connections of other hosts.
     Address relay;                 ///< Listening address for relayed requests.
     Address admin;                 ///< Listening address for operators' requests.
--- a/tests/net/exchangetests.cpp
+++ b/tests/net/exchangetests.cpp
@@ -490,7 +490,7 @@
     CHECK(host.events.empty());
 }
 
-TEST_CASE("a body above the size limit of all rows is refused as not run", "[exchange]")
+TEST_CASE("a body above the server's size limit is refused with the verdict not-run", "[exchange]")
 {
     Host host;
     const Caller caller(host,
--- a/tests/net/listenertests.cpp
+++ b/tests/net/listenertests.cpp
@@ -70,7 +70,7 @@
     }
 }
 
-TEST_CASE("listening on an address in use fails with an error that names it", "[listener]")
+TEST_CASE("listening on an address in use fails with an error that names the address", "[listener]")
 {
     Loop loop;
     const auto first =
--- a/tests/net/peerhubtests.cpp
+++ b/tests/net/peerhubtests.cpp
@@ -189,7 +189,7 @@
     }
 }
 
-TEST_CASE("invalid input closes its connection and does not prevent others", "[peerhub]")
+TEST_CASE("invalid input closes its connection, and another host can still connect", "[peerhub]")
 {
     Loop loop;
     TestHost a(loop, "a");
--- a/tests/net/scriptserver.h
+++ b/tests/net/scriptserver.h
@@ -18,7 +18,7 @@
 /// What the server does with a connection after sending the answer.
 enum class AfterAnswer : std::uint8_t {
     Keep,
-    Close, ///< Closed normally.
+    Close, ///< The server closes it with a TCP FIN.
     Reset,
 };
 
--- a/tests/net/storeanswertests.cpp
+++ b/tests/net/storeanswertests.cpp
@@ -336,7 +336,7 @@
     CHECK(answer->nextPage.empty());
 }
 
-TEST_CASE("a removal after a write of an upstream counts, and one of the rows is ignored",
+TEST_CASE("a removal after a write of an upstream counts, and a removal of the rows is ignored",
           "[store]")
 {
     const json removed { { "key", "servers/i-0a" }, { "revision", 8 }, { "removed", true } };
--- a/tests/standins/upstream/upstream.h
+++ b/tests/standins/upstream/upstream.h
@@ -30,7 +30,7 @@
     /// Changes faults, service time and service as given by the fields of the command `set`. A
     /// change of the service ends every feed.
     auto set(const Json &json) -> void;
-    /// Ends every feed with the last chunk, as far as no write is in progress.
+    /// Ends every feed with the last chunk. A feed with a write in progress is closed without it.
     auto endFeeds() -> void { this->feeds.endAll(); }
     [[nodiscard]] auto totals() const -> Totals;
     [[nodiscard]] auto address() const -> std::string { return this->server.address(); }
