--- a/include/flamingograde/action.h
+++ b/include/flamingograde/action.h
@@ -26,7 +26,7 @@
     std::string service; ///< Sent as `Host`, so that an upstream of another service refuses it.
     std::string rowName; ///< Sent as `Flamingograde-Row`.
     std::string key;     ///< Sent as `Idempotency-Key`; empty for none.
-    bool freshConnection = false; ///< Use no pooled connection: if it is stale, it is unknown
+    bool freshConnection = false; ///< Use no pooled connection: if one is stale, it is unknown
                                   ///< whether the request ran.
     bool keepAnswer = false;      ///< Attach the whole answer to `Answered` if it is small enough.
     Duration remaining { 0 };     ///< Time left; sent to the upstream and used as the timeout.
@@ -89,7 +89,7 @@
 };
 
 /// Close the caller's connection, as the answer broke off after its head was forwarded: the caller
-/// must not take the part for the whole answer.
+/// must not take the forwarded part for the whole answer.
 struct AbortAnswer
 {
     ExchangeId exchange;
@@ -153,7 +153,8 @@
 {
     Revision after;         ///< This host has the changes up to this; invalid: read everything.
     Duration wait { 0 };    ///< How long the platform may hold the call until a change.
-    bool mayBeLate = false; ///< The answer may be some seconds old, which is cheaper.
+    bool mayBeLate = false; ///< The platform may give an answer that is some seconds old, which
+                            ///< costs it less.
 };
 
 /// Connect to whichever host accepts connections at the address of a seed.
--- a/include/flamingograde/coldlimit.h
+++ b/include/flamingograde/coldlimit.h
@@ -14,7 +14,7 @@
     ServiceId service;            ///< Made from `serviceName`.
     std::string serviceName;      ///< The service whose upstreams have the limit.
     Duration coldTime { 0 };      ///< How long an upstream is cold after its start.
-    double requestsPerSecond = 0; ///< Total of all hosts.
+    double requestsPerSecond = 0; ///< Limit for the requests of all hosts together.
 };
 
 } // namespace flamingograde
--- a/include/flamingograde/directoryupdate.h
+++ b/include/flamingograde/directoryupdate.h
@@ -17,7 +17,7 @@
 struct DirectoryRecord
 {
     Upstream upstream; ///< Precondition: its instance is valid.
-    Revision changed;  ///< Revision of its last change: a later record replaces this one.
+    Revision changed;  ///< Of its last change: a record with a higher one replaces this.
     Revision created;  ///< Revision of its registration: lower for the older of two.
 };
 
--- a/include/flamingograde/event.h
+++ b/include/flamingograde/event.h
@@ -52,7 +52,7 @@
 /// Progress of a dispatch, relay or feed.
 enum class Progress : std::uint8_t {
     NotSent,   ///< No byte of the request left this host.
-    Lost,      ///< Lost after the request may have been sent and before an answer began.
+    Lost,      ///< Connection lost after the request may have been sent and before an answer began.
     Answering, ///< The answer's head was received; `head` is set.
     Answered,  ///< The whole answer was received and forwarded.
     Cut,       ///< The answer broke off.
--- a/include/flamingograde/member.h
+++ b/include/flamingograde/member.h
@@ -9,7 +9,8 @@
 
 namespace flamingograde {
 
-/// The state of a member. At the same incarnation, a later state overrides an earlier one.
+/// The state of a member. Among reports with the same incarnation, a state overrides those that are
+/// declared before it here, whichever report was made first.
 enum class MemberState : std::uint8_t {
     Alive,   ///< The host answers, or was announced.
     Leaving, ///< The host is in an orderly stop: it gets no new work and finishes the rest.
--- a/include/flamingograde/message.h
+++ b/include/flamingograde/message.h
@@ -28,22 +28,21 @@
 enum class LinkUse : std::uint8_t {
     None,  ///< No purpose: it may be closed.
     Spare, ///< In reserve, or to send changes to hosts of other zones.
-    Feed,  ///< To receive changes.
+    Feed,  ///< To receive changes of the directory and the membership.
 };
 
 /// State that every membership message carries in addition to its own content.
 struct Gossip
 {
-    std::vector<Member> updates;   ///< The most recent membership changes.
-    std::vector<CellLoad> loads;   ///< Loads of the cells of which the sender is the home.
-    Revision revision;             ///< Revision of the sender's table.
-    std::uint64_t tableDigest = 0; ///< Hash of the table's text.
-    std::uint32_t platformAgeMs =
-            0;                    ///< Time since the platform answered the sender or its sources.
-    std::uint64_t placements = 0; ///< Digest of the key placements that the sender knows.
-    bool agreed = false;          ///< The sender knows that all hosts had these placements.
-    Revision directory;           ///< The sender has all directory changes up to this.
-    std::uint32_t members = 0;    ///< Digest of the hosts that the sender regards as working.
+    std::vector<Member> updates;     ///< The most recent membership changes.
+    std::vector<CellLoad> loads;     ///< Loads of the cells of which the sender is the home.
+    Revision revision;               ///< Revision of the sender's table.
+    std::uint64_t tableDigest = 0;   ///< Hash of the table's text.
+    std::uint32_t platformAgeMs = 0; ///< Time since the platform's last answer known to the sender.
+    std::uint64_t placements = 0;    ///< Digest of the key placements that the sender knows.
+    bool agreed = false;             ///< The sender knows that all hosts had these placements.
+    Revision directory;              ///< The sender has all directory changes up to this.
+    std::uint32_t members = 0;       ///< Digest of the hosts that the sender regards as working.
     LinkUse linkUse = LinkUse::None; ///< Purpose for which the sender keeps the connection.
     bool readsFail = false;          ///< The sender's own reads of the directory fail.
 };
@@ -112,7 +111,7 @@
 
 /// What a host knows about the request with a key.
 enum class KeyState : std::uint8_t {
-    Unseen,  ///< Not dispatched by this host in its tenure, and it will not be.
+    Unseen,  ///< This host did not dispatch the request in its tenure, and will not.
     Running, ///< Dispatched and not answered yet.
     Done,    ///< Dispatched and answered.
     Unknown, ///< Dispatched with unknown result, or this host cannot tell.
@@ -134,7 +133,7 @@
 {
     CellId cell;
     std::int64_t knownSinceUs = 0; ///< Wall time in microseconds.
-    Revision tables; ///< Valid for keys that any table up to this one places in the cell.
+    Revision tables; ///< Keys that any table up to this one places in the cell are covered.
     std::vector<HandedKey> keys;
 };
 
--- a/include/flamingograde/stats.h
+++ b/include/flamingograde/stats.h
@@ -39,7 +39,7 @@
     std::array<std::uint64_t, packetReasons> packets {}; ///< Packets by `PacketReason`.
     LatencyHistogram handshakes; ///< Time from an opening packet to the second packet of its flow.
     LatencyHistogram responses;  ///< Time from a request to the acknowledgement of its answer.
-    std::uint64_t openingsUnanswered = 0;  ///< Opening packets whose flow had no second packet.
+    std::uint64_t openingsUnanswered = 0;  ///< Openings, copies and requests not answered in time.
     std::uint64_t upstreamsSilenced = 0;   ///< Times an upstream became silent.
     std::uint64_t upstreamsHeardAgain = 0; ///< Times a silent upstream answered again.
     std::uint64_t directoryUpdates = 0;    ///< Updates by which the directory changed.
--- a/src/core/directory/upstreamevidence.h
+++ b/src/core/directory/upstreamevidence.h
@@ -15,7 +15,7 @@
 {
     std::uint32_t busy = 0;       ///< Pending requests and openings of this host's flows.
     std::uint32_t unanswered = 0; ///< Requests and openings unanswered since the last sign of life.
-    LostRequests lost; ///< Of these: requests sent three times while other upstreams answered.
+    LostRequests lost; ///< Unanswered requests sent three times while other upstreams answered.
     std::optional<MonoTime> silentSince; ///< Since when it receives new flows only as trials.
     MonoTime heard;                      ///< Time of the last sign of life.
     MonoTime nextTrial;                  ///< If silent: earliest time of the next trial.
--- a/src/core/membership/failuredetector.cpp
+++ b/src/core/membership/failuredetector.cpp
@@ -27,7 +27,8 @@
 /// If no host has answered for this long, additional hosts are probed.
 constexpr Duration contactTimeout = 300ms;
 
-/// Hosts of other zones that are probed then, in addition to those of the local zone.
+/// Hosts of other zones that are probed after `contactTimeout`, in addition to those of the local
+/// zone.
 constexpr std::size_t otherZoneContactProbes = 3;
 
 /// Returns whether `prober` can be asked to probe the host of `record`: it is connected with the
--- a/src/core/membership/membermerge.h
+++ b/src/core/membership/membermerge.h
@@ -30,8 +30,8 @@
 /// A report that a member is dead is accepted only if the local host does not hear it either. A
 /// member of the local zone must in addition have failed to answer the local host for
 /// `config::refusedTimeout`, and either the sender is of the zone too, or the member refuses
-/// connections because its process ended, or it knew of the local host: otherwise it may still be
-/// running as the only home of the zone's cells.
+/// connections because its process ended, or the member knew of the local host: otherwise it may be
+/// still running as the only home of the zone's cells.
 auto mergeMember(Blackboard &board, HostId from, const Member &reported) -> void;
 
 /// Changes a member's state at its current incarnation, and gossips the change.
--- a/src/core/membership/memberrecord.h
+++ b/src/core/membership/memberrecord.h
@@ -30,10 +30,10 @@
     std::uint64_t placements = 0; ///< Digest of its key placements, as last reported.
     std::uint32_t refusals = 0;   ///< Refused dials since it was last heard.
     std::uint32_t remainingGossipSends = 0;   ///< Messages that are still to carry its last change.
-    std::optional<MonoTime> viewDiffersSince; ///< Since when its view of the fleet differs.
+    std::optional<MonoTime> viewDiffersSince; ///< Since when its view and the local one differ.
     bool readsFail = false;                   ///< Its directory reads fail, as last reported.
     bool connected = false;
-    bool isNew = false;            ///< Views were not compared since it connected.
+    bool isNew = false;            ///< Not compared with the local view since it connected.
     bool listed = false;           ///< In the platform's last host list.
     bool everListed = false;       ///< In any host list of the platform.
     bool leaving = false;          ///< Announced a stop; set until it is reported alive again.
--- a/src/core/membership/membershipstate.h
+++ b/src/core/membership/membershipstate.h
@@ -95,7 +95,8 @@
     /// all running hosts: from the platform's list, from other hosts, or by waiting for them.
     [[nodiscard]] auto knowsFleet(MonoTime now) const -> bool;
 
-    /// Rebuilds the look-ups if they are out of date.
+    /// Rebuilds the lists and counts that the look-ups return, if `touch` marked them as out of
+    /// date.
     auto refresh() -> void;
 
     HostId self;                  ///< The local host; invalid before the first event.
--- a/src/core/overlay/linkkeeper.cpp
+++ b/src/core/overlay/linkkeeper.cpp
@@ -39,7 +39,7 @@
     return asked && board.now.mono - *asked >= answerTimeout;
 }
 
-/// Marks the member as unanswered, so that other hosts are chosen in its place.
+/// Records that the member did not answer this host, so that other hosts are chosen in its place.
 auto markUnanswered(Blackboard &board, MemberRecord &record) -> void
 {
     record.unanswered = true;
--- a/src/core/overlay/linkkeeper.h
+++ b/src/core/overlay/linkkeeper.h
@@ -33,7 +33,7 @@
     auto lost(Blackboard &board, const PeerDown &down) -> void;
     /// Records that a message of a member of `board` arrived, which shows that it is alive.
     static auto heard(const Blackboard &board, MemberRecord &record) -> void;
-    /// Clears pending pings and the marks of unanswered hosts. Called after a pause of this
+    /// Clears pending pings and the records that hosts did not answer. Called after a pause of this
     /// process, during which answers could not be received, so that elapsed time proves nothing.
     static auto reset(Blackboard &board) -> void;
 
--- a/src/core/overlay/linkrecord.h
+++ b/src/core/overlay/linkrecord.h
@@ -16,7 +16,7 @@
     LinkUse use = LinkUse::None; ///< What the member uses the connection for, by its last message.
     MonoTime since;              ///< When the connection was established.
     MonoTime nextPing;           ///< When the member is pinged next.
-    std::optional<MonoTime> pingedAt;       ///< First ping since a message of the member arrived.
+    std::optional<MonoTime> pingedAt; ///< First ping since the member's last message; empty: none.
     std::optional<MonoTime> suspectedSince; ///< Since when it may be dead; see `DeadHostDetector`.
     std::uint32_t failedDials = 0;          ///< Failed dials in a row.
     bool hasUnsentChange = false; ///< A change of the member has not been sent to other hosts yet.
--- a/src/core/overlay/lostmembers.cpp
+++ b/src/core/overlay/lostmembers.cpp
@@ -60,7 +60,7 @@
     }
     this->nextReview = board.now.mono + reviewPeriod;
     if (!isConnectedWithZone(board)) {
-        // This host is cut off from its zone: the time of suspected hosts starts anew.
+        // This host is cut off from its zone and cannot observe it: all suspicions are dropped.
         for (auto &[id, record] : board.membership.records()) {
             record.link.suspectedSince.reset();
         }
--- a/src/core/overlay/newsspread.cpp
+++ b/src/core/overlay/newsspread.cpp
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 
 /// Least time between two batches. The delay is harmless: only the choice of connections depends on
-/// it.
+/// the changes.
 constexpr Duration batchPeriod = 300ms;
 
 /// Most members in one message, which takes 5 KB with names of 13 letters.
@@ -59,7 +59,7 @@
 {
     const auto targets = spreadTargets(board, board.membership.self);
     if (targets.empty()) {
-        return; // Kept until there is a host to send them to.
+        return; // The changes are kept until there is a host to send them to.
     }
     const auto changes = takeUnsentChanges(board);
     for (const auto host : targets) {
--- a/src/core/overlay/overlaycontroller.cpp
+++ b/src/core/overlay/overlaycontroller.cpp
@@ -95,7 +95,7 @@
     ++board.stats.peerMessagesReceived;
     auto *record = board.membership.record(received.from);
     if (record == nullptr || !record->connected) {
-        return; // Was in transit when the connection was closed.
+        return; // The message was in transit when the connection was closed.
     }
     LinkManager::heard(board, *record);
     if (const auto *gossip = gossipOf(received.message)) {
--- a/src/core/overlay/zonehubs.h
+++ b/src/core/overlay/zonehubs.h
@@ -41,7 +41,7 @@
 /// Condition that a host has to meet to be listed.
 enum class HostFilter : std::uint8_t {
     Eligible, ///< Known as alive and not leaving.
-    Usable,   ///< Eligible and not marked by this host as unanswered.
+    Usable,   ///< Eligible and not recorded by this host as not answering.
 };
 
 /// Returns whether a member meets the condition of `filter`. Precondition: none.
--- a/src/core/overlay/zoneview.h
+++ b/src/core/overlay/zoneview.h
@@ -23,22 +23,23 @@
 auto learnMember(Blackboard &board, const Member &reported, ViewChanges &changes) -> void;
 
 /// Adds or updates a connected member, even if that exceeds `config::contactsPerZone`.
-/// Precondition: as above. @returns its record.
+/// Precondition: `OverlayController` has started. @returns its record.
 auto learnConnected(Blackboard &board, Member member, ViewChanges &changes) -> MemberRecord &;
 
 /// Changes the state of a member of the own zone within its present incarnation, and marks the
-/// change to be sent to other hosts. Precondition: as above.
+/// change to be sent to other hosts. Precondition: `OverlayController` has started.
 auto setMemberState(Blackboard &board, MemberRecord &record, MemberState state,
                     ViewChanges &changes) -> void;
 
 /// Returns the members to be sent to a newly connected host of another zone: the best-ranked hosts
-/// of this zone and of `zone`, and one of each other zone. Precondition: as above.
+/// of this zone and of `zone`, and one of each other zone.
+/// Precondition: `OverlayController` has started.
 /// @param zone the zone of the connected host.
 [[nodiscard]] auto introductionFor(const Blackboard &board, ZoneId zone) -> std::vector<Member>;
 
 /// Removes unconnected contacts above `config::contactsPerZone`, the worst first, and hosts that
 /// ended long ago.
-/// Precondition: as above.
+/// Precondition: `OverlayController` has started.
 auto trimView(Blackboard &board) -> void;
 
 } // namespace flamingograde
--- a/src/core/packets/coldsharing.cpp
+++ b/src/core/packets/coldsharing.cpp
@@ -24,7 +24,7 @@
 }
 
 /// Returns the rate of an owner: the cold limit, reduced if two owners together would exceed the
-/// bound on the requests that all hosts send in a second.
+/// bound on the requests that all hosts send in a second, but at least half of the limit.
 auto ownerRate(const Init &init, const ColdLimit &limit) -> double
 {
     const auto limitRate = limit.requestsPerSecond;
--- a/src/core/packets/coldsharing.h
+++ b/src/core/packets/coldsharing.h
@@ -11,18 +11,21 @@
 class Blackboard;
 struct UpstreamEntry;
 
-/// Gives the whole rate to one host of the upstream's zone, the owner, chosen by rendezvous hashing
-/// over the hosts that this host considers alive. Hosts of other zones send nothing.
+/// Lets only one host of the upstream's zone, the owner, send requests to a cold upstream. The
+/// owner is chosen by rendezvous hashing over the hosts that this host considers alive. Hosts of
+/// other zones send nothing.
 ///
 /// Membership views differ while hosts join and leave, so two hosts may both consider themselves
-/// the owner; the rate is chosen so that both together stay below the bound.
+/// the owner. An owner's request rate is therefore reduced below the cold limit, to half of it at
+/// the least, if two owners together would exceed the bound on the requests of all hosts in a
+/// second that `Init::coldExcess` and `Init::coldSlack` set.
 struct SingleOwnerSharing
 {
     [[nodiscard]] auto rateOf(const Blackboard &board, const UpstreamEntry &entry,
                               const ColdLimit &limit) const -> double;
 };
 
-/// Gives each host of the upstream's zone an equal part of the rate. Serves as a baseline in
+/// Gives each host of the upstream's zone an equal part of the cold limit. Serves as a baseline in
 /// experiments.
 struct EqualSplitSharing
 {
--- a/src/core/packets/flowwatch.cpp
+++ b/src/core/packets/flowwatch.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Divisor of a new sample's weight in a moving average, which spans about the last ten samples.
+/// Reciprocal of a new sample's weight in a moving average, which thus spans about the last ten
+/// samples.
 constexpr auto meanDivisor = 10;
 /// Each tick checks this fraction of the flow table for expired requests: all of it in 64 ticks,
 /// 3.2 s.
--- a/src/core/packets/flowwatch.h
+++ b/src/core/packets/flowwatch.h
@@ -15,7 +15,7 @@
 enum class RequestEvidence : std::uint8_t {
     None,    ///< It has no data, or its flow is not tracked.
     Pending, ///< It carries data of a request that awaits its answer.
-    Overdue, ///< Like the above, and it is the first retransmission of the request.
+    Overdue, ///< Like `Pending`, and it is the first retransmission of the request.
 };
 
 /// Starts to track the flow of an opening packet that is forwarded to the upstream at directory
--- a/src/core/packets/packetstate.h
+++ b/src/core/packets/packetstate.h
@@ -25,11 +25,12 @@
     FlowChoice choice; ///< How new flows are placed.
     FlowTable flows;
     OpeningQueue openings;
-    MonoTime lastPacket;         ///< When the last packet arrived.
-    MonoTime evidenceValidFrom;  ///< Before this, packets may have waited and are no evidence.
-    MonoTime lastHeard;          ///< When any upstream was last heard.
-    MonoTime lastAnsweredSentAt; ///< When the newest answered opening or request was sent.
-    MonoTime answeredSince;      ///< Since when such were sent less than `config::answerGap` apart.
+    MonoTime lastPacket;           ///< When the last packet arrived.
+    MonoTime evidenceValidFrom;    ///< Until then, packets may have waited unread: no evidence.
+    MonoTime lastHeard;            ///< When any upstream was last heard.
+    MonoTime lastAnsweredSentAt;   ///< When the newest answered opening or request was sent.
+    MonoTime answeredSince;        ///< Since when the answered ones were sent less than
+                                   ///< `config::answerGap` apart.
     std::uint32_t nextToCheck = 0; ///< Index of the flow to check next for an expired request.
 };
 
--- a/src/core/packets/silence.cpp
+++ b/src/core/packets/silence.cpp
@@ -76,7 +76,7 @@
 {
     const auto sent = monoTimeOf(board, sentAt);
     if (board.now.mono - sent >= config::resendTime) {
-        return; // Its caller may have resent it through another host.
+        return; // The caller may have resent the packet through another host.
     }
     auto &packets = board.packets;
     if (sent - packets.lastAnsweredSentAt >= config::answerGap) {
--- a/src/core/packets/silence.h
+++ b/src/core/packets/silence.h
@@ -32,8 +32,9 @@
 /// Records that a request to an upstream, first forwarded at `sentAt` of `FlowTable::clock`, was
 /// sent a third time.
 ///
-/// It counts only if upstreams answered without a gap what this host sent from before the request
-/// until after its first resend. Otherwise this host may have been cut off at that time.
+/// The request counts only if upstreams answered, without a gap, what this host sent from before
+/// the request until after its first resend. Otherwise this host may have been cut off at that
+/// time.
 auto recordLostRequest(Blackboard &board, UpstreamEntry &entry, std::uint32_t sentAt) -> void;
 
 /// Returns whether the evidence that an upstream is silent is strong enough to reset open flows.
--- a/src/core/upstreams/upstreamhealth.h
+++ b/src/core/upstreams/upstreamhealth.h
@@ -17,7 +17,7 @@
     Address address;                             ///< From the latest table.
     UpstreamState state = UpstreamState::Active; ///< From the latest table.
     std::uint32_t failures = 0;                  ///< Consecutive failures of traffic.
-    std::uint32_t ejections = 0;                 ///< Consecutive ejections; each doubles the time.
+    std::uint32_t ejections = 0;                 ///< Consecutive ejections; each doubles the next.
     bool ejected = false;                        ///< Out of rotation until `ejectedUntil`.
     MonoTime ejectedUntil;
     std::optional<MonoTime> rampSince;    ///< Since when it is cold; empty if warm.
