--- a/src/core/admission/admissioncontroller.cpp
+++ b/src/core/admission/admissioncontroller.cpp
@@ -111,7 +111,8 @@
     }
 }
 
-/// Admits repeated requests that were held back by their idempotency key.
+/// Passes to the key controller the repeats of a key that waited for its first request, if that
+/// request was not run.
 auto admitReleasedRepeats(Blackboard &board) -> void
 {
     for (const auto id : board.keys.takeReleased()) {
--- a/src/core/admission/rowqueue.h
+++ b/src/core/admission/rowqueue.h
@@ -17,12 +17,14 @@
 struct RowQueue
 {
     RowId row;
-    std::string name;             ///< Copied from the row when its last request was queued.
-    std::uint32_t weight = 1;     ///< Copied likewise.
-    std::uint32_t urgency = 0;    ///< Copied likewise; the higher, the earlier it is served.
-    std::uint32_t concurrent = 0; ///< Copied likewise: most requests running at once; 0: no limit.
-    std::size_t capacity = 0;     ///< Copied likewise: most requests that may wait.
-    Duration deadline { 0 };      ///< Copied likewise: time limit of a request of the row.
+    // `name` to `deadline` are copied from the table's row whenever a request of the row is queued,
+    // and when a new table is in force.
+    std::string name;
+    std::uint32_t weight = 1;     ///< Relative share of the cell's slot time.
+    std::uint32_t urgency = 0;    ///< The higher, the earlier the row is served.
+    std::uint32_t concurrent = 0; ///< Most requests of the row running at once; 0: no limit.
+    std::size_t capacity = 0;     ///< Most requests of the row that may wait.
+    Duration deadline { 0 };      ///< Time limit of a request of the row.
     std::deque<ExchangeId> waiting;
     std::uint32_t running = 0;
     /// Requests refused because the queue was full, less the requests dispatched since.
--- a/src/core/admission/timeneeded.h
+++ b/src/core/admission/timeneeded.h
@@ -14,7 +14,7 @@
 
 /// Returns the expected time until `exchange`, the newest request of `row`, is answered; nothing
 /// without a fresh service time estimate. If no upstream offers a slot, returns the time until the
-/// first one does.
+/// first upstream offers one again.
 [[nodiscard]] auto timeNeeded(Blackboard &board, const Cell &cell, const RowQueue &row,
                               const Exchange &exchange) -> std::optional<Duration>;
 
--- a/src/core/admission/waitestimate.cpp
+++ b/src/core/admission/waitestimate.cpp
@@ -71,7 +71,8 @@
     if (left.size() < slots) {
         left.insert(left.begin(), slots - left.size(), 0.0);
     }
-    const auto over = left.size() - slots; // Slots were withdrawn while requests ran.
+    // More requests than `slots` may be running, because slots were withdrawn in the meantime.
+    const auto over = left.size() - slots;
     const auto count = static_cast<std::size_t>(work.count);
     const auto mean = work.count > 0 ? work.seconds / work.count : 0.0;
     const auto round = count / slots;
--- a/src/core/blackboard.h
+++ b/src/core/blackboard.h
@@ -61,7 +61,7 @@
     FeedStore feeds;                 ///< Open feeds.
     CellStore cells;         ///< Queues and slots of the cells of which this host is the home.
     KeyRegistry keys;        ///< Idempotency keys whose requests this host has run.
-    PlacedShares placed;     ///< Placements that this host has made at each cell.
+    PlacedShares placed;     ///< Placements that this host has made in each cell.
     UpstreamStore upstreams; ///< Run-time state of upstreams, besides the table.
     RetryBudget retryBudget; ///< Retries still allowed.
     StopState stop;          ///< The orderly stop.
--- a/src/core/configuration/configcontroller.cpp
+++ b/src/core/configuration/configcontroller.cpp
@@ -18,12 +18,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration readTimeoutMargin = 5s;  ///< Longest time for an answer after the wait.
+constexpr Duration readTimeoutMargin = 5s;  ///< Time limit of a read after its long-poll wait.
 constexpr Duration platformStale = 3s;      ///< A host with older news of the platform reads it.
 constexpr Duration peerRequestTimeout = 1s; ///< Longest wait for a table from another host.
 constexpr Duration placementRequestPeriod = 500ms; ///< Shortest time between placement requests.
 constexpr Duration startupHostListPeriod = 500ms;  ///< Used until the host list names this host.
-constexpr Duration startupPeriod = 10s; ///< `startupHostListPeriod` is used up to this age.
+constexpr Duration startupPeriod = 10s; ///< Host age up to which `startupHostListPeriod` is used.
 
 /// Rendezvous key by which the platform readers of a zone are elected.
 const auto readerKey = hashName("platform reader");
--- a/src/core/configuration/configcontroller.h
+++ b/src/core/configuration/configcontroller.h
@@ -35,8 +35,12 @@
     auto on(Blackboard &board, const Tick &tick) -> void;
     auto handleGossip(Blackboard &board, HostId from, const Gossip &gossip) -> void;
     auto requestTable(Blackboard &board, HostId from) -> void;
-    /// Logs once per revision that another text has the revision in force: `digest` is its hash.
+    /// Compares `digest`, the hash of another host's or the platform's text of the revision in
+    /// force, with the hash of this host's text. Logs a difference once per revision.
     auto compareDigest(Blackboard &board, std::uint64_t digest) -> void;
+    /// Compares the digest of the placements of `from` with that of this host. If they are equal
+    /// and `from` knows that all hosts agree, records the agreement. Requests the placements of
+    /// `from` if the digests differ, or to learn the time of the agreement.
     auto comparePlacements(Blackboard &board, HostId from, const Gossip &gossip) -> void;
 
     auto considerTable(Blackboard &board, const TableSource &source) -> void;
@@ -58,7 +62,7 @@
     Duration backoff { 0 };  ///< Pause before the next table read; doubles without a newer table.
     Revision newestRefused;  ///< Newest revision of a table that was refused for its findings.
     Revision conflictLogged; ///< Last revision that was logged as having two texts.
-    Revision olderLogged;    ///< Last older revision that was logged.
+    Revision olderLogged;    ///< Last revision logged as older than the one in force.
     bool agreementTimeReceived = false; ///< Another host sent the time of the agreement.
     MonoTime nextPlacementRequest;      ///< Earliest time of the next request for placements.
     MonoTime nextTableRequest; ///< Earliest time of the next table request to another host.
--- a/src/core/configuration/configstate.h
+++ b/src/core/configuration/configstate.h
@@ -20,7 +20,8 @@
 class ConfigState
 {
 public:
-    /// @param clockBound largest difference between the wall clocks of two parties.
+    /// @param clockBound largest difference between any two wall clocks of hosts, callers and the
+    /// platform.
     explicit ConfigState(Duration clockBound) : placements(clockBound) {}
 
     std::shared_ptr<const Table> table = std::make_shared<const Table>(); ///< Never null.
@@ -35,7 +36,7 @@
 
     PlacementHistory placements; ///< Key placements of `table` and of earlier tables.
     std::unordered_map<UpstreamId, MonoTime> quarantinedUntil; ///< End of each quarantine.
-    MonoTime platformLastHeard; ///< When the platform last answered this host or its sources.
+    MonoTime platformLastHeard; ///< When the platform last answered any host, as far as known.
     bool platformKnown = false; ///< Whether `platformLastHeard` has been set.
 
     /// Returns the time since the platform last answered this host or one that it heard from, or
--- a/src/core/configuration/tablespread.h
+++ b/src/core/configuration/tablespread.h
@@ -5,7 +5,8 @@
 
 class Blackboard;
 
-/// Announces the table in force to connected hosts that have an older one, up to a limit.
+/// Announces the table in force to connected hosts that have an older one, to a limited number of
+/// them per call.
 auto announceTable(Blackboard &board) -> void;
 
 /// Expires old placements and, when all hosts place keys as this one does, records the agreement.
--- a/src/core/dump.cpp
+++ b/src/core/dump.cpp
@@ -82,7 +82,8 @@
     return list;
 }
 
-/// Returns the cells of the table with their home hosts and their load at this host.
+/// Returns the cells of the table with their home hosts and the requests that this host runs and
+/// queues in each.
 auto cellsJson(const Blackboard &board) -> json
 {
     auto list = json::array();
--- a/src/core/feeds/feedcontroller.cpp
+++ b/src/core/feeds/feedcontroller.cpp
@@ -26,8 +26,8 @@
     return std::min<Duration>(config::feedRetryMin * (1U << doublings), config::feedRetryMax);
 }
 
-/// Tells the transport to end a feed between two events. The transport reports the end with
-/// `Progress::Answered`. Does nothing if the feed is already ending.
+/// Tells the transport to end a feed between two events of its stream. The transport reports the
+/// end with `Progress::Answered`. Does nothing if the feed is already ending.
 auto endFeed(Blackboard &board, ExchangeId id, Feed &feed) -> void
 {
     if (feed.stage == FeedStage::Ending) {
--- a/src/core/feeds/feedcontroller.h
+++ b/src/core/feeds/feedcontroller.h
@@ -11,7 +11,7 @@
 /// Opens feeds and reopens them at the same upstream after the connection is lost.
 ///
 /// Ends a feed when its caller has to reconnect: when this host stops, or when the feed's upstream
-/// was removed from the table. The stream is ended between two events, never inside one.
+/// was removed from the table. A stream is ended between two of its events, never inside one.
 /// @remarks Not thread safe.
 class FeedController
 {
--- a/src/core/homes/cell.h
+++ b/src/core/homes/cell.h
@@ -21,8 +21,9 @@
 struct UpstreamLoad
 {
     std::uint32_t running = 0; ///< Slots in use, lingering ones included.
-    double dispatchesPerSlot =
-            0; ///< Of equally loaded upstreams the one with the lowest is chosen.
+    /// Requests dispatched to the upstream per slot, raised by `countServed` if far behind other
+    /// upstreams. Of equally loaded upstreams the one with the lowest value is chosen.
+    double dispatchesPerSlot = 0;
 };
 
 /// A slot that stays reserved after this host cancelled its request, because the upstream may still
@@ -37,8 +38,8 @@
 struct Cell
 {
     CellId id;
-    bool homed = false;      ///< Whether this host was its home at the last check.
-    std::uint32_t slots = 0; ///< Slots offered at the last check.
+    bool homed = false;      ///< Whether this host is the cell's home, as of the last event.
+    std::uint32_t slots = 0; ///< Slots that the upstreams offered at the last `Tick`.
     double virtualTime = 0;  ///< Virtual time of the weighted fair queueing.
     std::size_t waiting = 0; ///< Queued requests of all rows.
     std::map<RowId, RowQueue> rows;
--- a/src/core/homes/claimant.cpp
+++ b/src/core/homes/claimant.cpp
@@ -22,7 +22,8 @@
 }
 
 /// Returns the tenure of `cell` that begins now. If exactly one voter was the home until it granted
-/// the cell, the tenure inherits the keys that it handed over. If several say so, none is trusted.
+/// the cell, the tenure inherits the keys that this voter handed over. If several voters report
+/// that they were the home, none is trusted.
 auto tenureOf(Blackboard &board, const Claim &claim, CellId cell) -> TenureState::Tenure
 {
     TenureState::Tenure tenure { board.now.wall, {} };
--- a/src/core/homes/grantor.cpp
+++ b/src/core/homes/grantor.cpp
@@ -24,7 +24,8 @@
     });
 }
 
-/// Returns whether the cell may be granted: none of its requests runs, or the timeout has elapsed.
+/// Returns whether the cell may be granted: none of its requests runs on this host, or
+/// `config::handoverTimeout` has elapsed since the handover began.
 auto mayGrant(const Blackboard &board, CellId cell, const Handover &handover) -> bool
 {
     return board.cells.runningIn(cell) == 0
--- a/src/core/homes/grantor.h
+++ b/src/core/homes/grantor.h
@@ -13,8 +13,8 @@
 class Blackboard;
 class Claimant;
 
-/// Grants a cell to the claiming host if that is its home by the membership view of this host too.
-/// If this host is the home, it ends its own tenure first.
+/// Grants a cell to the claiming host if the membership view of this host, too, makes the claiming
+/// host the home of the cell. If this host holds the cell, it ends its own tenure first.
 /// @remarks Not thread safe.
 class Grantor
 {
--- a/src/core/homes/handover.h
+++ b/src/core/homes/handover.h
@@ -19,8 +19,8 @@
     std::uint64_t claim = 0;  ///< Id of its claim.
     std::uint64_t round = 0;  ///< Number of its latest request.
     MonoTime since;           ///< When the handover began.
-    bool wasLastHome = false; ///< Whether this host was the home until then, and no host since.
-    KnownFrom keysKnownFrom;  ///< From when it knew all keys, as the home.
+    bool wasLastHome = false; ///< Whether this host was home until the handover, and none since.
+    KnownFrom keysKnownFrom;  ///< From when this host, as the home, knew all keys.
     bool granted = false;     ///< Whether the grant was sent.
 };
 
--- a/src/core/homes/tenurecontroller.h
+++ b/src/core/homes/tenurecontroller.h
@@ -38,8 +38,8 @@
     std::set<CellId> zoneCells;        ///< The cells of this zone in the table in force.
     Revision zoneCellsRevision;        ///< Revision of the table behind `zoneCells`.
     std::uint64_t reviewedVersion = 0; ///< Version of the membership at the last review.
-    std::uint64_t handledPauses = 0;   ///< Number of pauses handled.
-    std::uint64_t handledDeaths = 0;   ///< Number of false reports of its death handled.
+    std::uint64_t handledPauses = 0;   ///< Number of pauses of the process handled.
+    std::uint64_t handledDeaths = 0;   ///< Number of false reports of this host's death handled.
 };
 
 } // namespace flamingograde
--- a/src/core/keys/keycontroller.cpp
+++ b/src/core/keys/keycontroller.cpp
@@ -92,8 +92,8 @@
     board.keys.park(exchange.id);
 }
 
-/// Refuses a key about which no former home can be asked or none has answered. The verdict follows
-/// the state that the former home handed over, if any.
+/// Refuses a key about which no former home can be asked or none has answered. The verdict is `Run`
+/// if the former home handed the key over as `Done`, otherwise `Unknown`.
 auto refuseUnproven(Blackboard &board, Exchange &exchange) -> void
 {
     const auto inheritedState = board.keys.inherited({ exchange.cell, exchange.key });
--- a/src/core/keys/keycontroller.h
+++ b/src/core/keys/keycontroller.h
@@ -25,7 +25,7 @@
     auto handle(Blackboard &board, const Event &event) -> void;
 
     /// Checks the exchanges in `board.toAdmit` and moves those that may be run to `board.toQueue`.
-    /// Also checks again those that were parked or released.
+    /// Also rechecks parked exchanges, and repeats whose first request was not run.
     auto settle(Blackboard &board) -> void;
 
 private:
--- a/src/core/keys/keyfreshness.h
+++ b/src/core/keys/keyfreshness.h
@@ -28,7 +28,7 @@
 
 /// Returns the time from which this host knows every dispatch of `cell`, to be reported to another
 /// host.
-/// @param known the same as of the beginning of this host's tenure.
+/// @param known the time from which this host knew every dispatch when its tenure began.
 [[nodiscard]] auto knownFromNow(const Blackboard &board, CellId cell, const KnownFrom &known)
         -> KnownFrom;
 
--- a/src/core/keys/keyplacement.h
+++ b/src/core/keys/keyplacement.h
@@ -42,7 +42,8 @@
 [[nodiscard]] auto zoneOfKey(const std::vector<ZoneSlots> &zones, ServiceId service,
                              std::string_view key) -> ZoneId;
 
-/// Returns the same for `table`. Slow: collects the active slots of the whole table.
+/// Returns the zone in which `key` is run by `table`, by the same rules. Slow: collects the active
+/// slots of the whole table.
 /// @remarks Thread safe.
 [[nodiscard]] auto zoneOfKey(const Table &table, ServiceId service, std::string_view key) -> ZoneId;
 
--- a/src/core/keys/keyregistry.h
+++ b/src/core/keys/keyregistry.h
@@ -85,12 +85,13 @@
     /// Returns the number of parked exchanges.
     [[nodiscard]] auto parkedCount() const -> std::size_t { return this->parked.size(); }
 
-    /// Forgets records and inherited keys past their lifetime. Running ones stay.
+    /// Forgets records and inherited keys past their lifetime. Records of running requests stay.
     auto expire(MonoTime now) -> void;
     /// Returns the wall time after which every dispatch of `cell` is still remembered; the epoch
     /// if none was forgotten.
     [[nodiscard]] auto forgottenUntil(CellId cell) const -> WallTime;
-    /// Returns the same, but counts only records evicted for lack of room, not expired ones.
+    /// Returns the dispatch time of the latest record of `cell` that was evicted for lack of room,
+    /// not expired; the epoch if none was evicted.
     [[nodiscard]] auto evictedUntil(CellId cell) const -> WallTime;
 
     /// Returns the keys of `cell` that were dispatched after `after`, newest first: those run by
@@ -108,8 +109,8 @@
 
     /// Records that this host is home of `cell`, and from when it knows every dispatch there.
     auto recordTenure(CellId cell, const KnownFrom &known) -> void;
-    /// Returns that knowledge for this host's current or last tenure of `cell`; nothing if it never
-    /// was its home.
+    /// Returns from when this host knows every dispatch of `cell`, as recorded for its current or
+    /// last tenure of the cell; nothing if it never was its home.
     [[nodiscard]] auto tenureOf(CellId cell) const -> std::optional<KnownFrom>;
 
     /// Stores a lookup that is being sent, and returns its sequence number.
--- a/src/core/keys/placementhistory.h
+++ b/src/core/keys/placementhistory.h
@@ -21,7 +21,8 @@
     const std::string &key;
     std::optional<WallTime> birth; ///< When the key was made, if the key contains it.
     WallTime now;
-    Revision coveredRevision = {}; ///< The caller accounts for moves by tables up to this one.
+    Revision
+            coveredRevision = {}; ///< The calling code handles moves by tables up to this revision.
 };
 
 /// The zone in which a key is run.
@@ -40,11 +41,12 @@
 class PlacementHistory
 {
 public:
-    /// @param bound largest difference between the wall clocks of two parties.
+    /// @param bound largest difference between any two wall clocks of hosts, callers and the
+    /// platform.
     explicit PlacementHistory(Duration bound) : clockBound(bound) {}
 
-    /// Later than the birth of any key. As `KeyPlacement::since`, any key may have been run in
-    /// another zone.
+    /// Later than the birth of any key. As `KeyPlacement::since` it means that any key may have
+    /// been run in another zone.
     static constexpr WallTime never = WallTime(Duration::max() / 2);
 
     /// Returns where a key is run; an invalid zone while no table is known. Precondition: none.
--- a/src/core/placement/upstreamchoice.cpp
+++ b/src/core/placement/upstreamchoice.cpp
@@ -11,8 +11,10 @@
 
 namespace {
 
-/// Limits how far an upstream that was unavailable catches up: to this many dispatches of the
-/// upstream with the fewest slots.
+/// Limits how far `dispatchesPerSlot` of an upstream lags behind the lowest of the other upstreams,
+/// so that an upstream that was unavailable does not get all requests until it has caught up.
+/// Counted in dispatches to the upstream with the fewest slots, because one dispatch raises its
+/// `dispatchesPerSlot` the most.
 constexpr double dispatchLagMax = 2.0;
 
 auto isPreferred(const SlotOffer &a, const SlotOffer &b) -> bool
--- a/src/core/requestcontrollers.cpp
+++ b/src/core/requestcontrollers.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Rounds in one event in which exchanges are passed between controllers; those that are left then
-/// wait for the next event.
+/// Most rounds per event in which exchanges are passed between controllers. Exchanges that are left
+/// after the last round wait for the next event.
 constexpr int settleRoundsMax = 8;
 
 auto isSettled(const Blackboard &board) -> bool
--- a/src/core/requests/dispatch.cpp
+++ b/src/core/requests/dispatch.cpp
@@ -71,7 +71,8 @@
             candidates.push_back(candidate);
             ready.push_back(&row);
         } else {
-            row.startTag = std::max(row.startTag, cell.virtualTime); // No credit for missed turns.
+            // A row that has no request to dispatch now gets no credit for the turns it misses.
+            row.startTag = std::max(row.startTag, cell.virtualTime);
         }
     }
     if (ready.empty()) {
@@ -102,8 +103,8 @@
     }
 }
 
-/// Lowers the row's count of requests turned away by the queue place that a dispatch freed. An
-/// empty queue has no such requests to make up for, so the count becomes 0.
+/// Lowers `turnedAway` by one, because a dispatch has freed one place in the row's queue. Sets
+/// `turnedAway` to 0 if the queue is empty, because a retry of a refused request then finds room.
 auto reduceTurnedAway(RowQueue &row) -> void
 {
     const auto outstanding = row.waiting.empty() ? 0 : row.turnedAway;
--- a/src/core/requests/outcomecontroller.cpp
+++ b/src/core/requests/outcomecontroller.cpp
@@ -137,7 +137,7 @@
 }
 
 /// Converts a home's refusal to one for the caller. Reasons that concern only hosts become
-/// `NoHome`. `NotRun` is kept only if it is true of all attempts.
+/// `NoHome`. The verdict `NotRun` is kept only if it is true of all attempts.
 auto refusalForCaller(const Exchange &exchange, const AnswerHead &head) -> Refusal
 {
     Refusal refusal { head.reason, head.verdict, head.retryAfter };
--- a/src/table/findinglist.h
+++ b/src/table/findinglist.h
@@ -29,8 +29,8 @@
     /// Returns whether the list has no findings. Precondition: none.
     [[nodiscard]] auto isEmpty() const -> bool { return this->list.empty(); }
 
-    /// Returns the findings sorted by position and clears the list; the last one states how many
-    /// were only counted, if any. Precondition: none.
+    /// Returns the findings sorted by position and clears the list. If some were only counted, a
+    /// last finding states how many. Precondition: none.
     [[nodiscard]] auto takeSorted() -> Findings;
 
 private:
--- a/src/table/tomltext.h
+++ b/src/table/tomltext.h
@@ -19,7 +19,7 @@
 
     toml::table root;
     bool isWhole = true;                              ///< Whether the text has no syntax errors.
-    std::unordered_set<std::uint32_t> brokenSections; ///< Header lines of the sections with one.
+    std::unordered_set<std::uint32_t> brokenSections; ///< Header lines of sections with errors.
 };
 
 /// Parses `text`. At each syntax error, adds a finding, skips the faulty line and continues.
--- a/tools/flamingogradectl/hostcommands.h
+++ b/tools/flamingogradectl/hostcommands.h
@@ -12,7 +12,7 @@
 /// Prints where a host would route a request now, and why.
 [[nodiscard]] auto runExplain(const Arguments &arguments) -> ExitCode;
 
-/// Stops a host gracefully.
+/// Requests a host to stop gracefully.
 [[nodiscard]] auto runDrain(const Arguments &arguments) -> ExitCode;
 
 } // namespace flamingograde::ctl
--- a/tools/flamingogradesim/main.cpp
+++ b/tools/flamingogradesim/main.cpp
@@ -164,7 +164,8 @@
     return results;
 }
 
-/// Returns the day with troubles drawn from its seed, or unchanged if no option asks for them.
+/// Returns `day` with the random changes drawn from its seed for the option `evacuated`, `crowded`
+/// or `randomTroubles`; unchanged if none of these is set.
 auto withRandomTroubles(DayPlan day, const Options &options) -> DayPlan
 {
     if (!options.randomTroubles && !options.crowded && !options.evacuated) {
