--- a/include/flamingograde/action.h
+++ b/include/flamingograde/action.h
@@ -151,9 +151,9 @@
 /// `DirectoryReadFailed`; only one read is in progress at a time.
 struct ReadDirectory
 {
-    Revision after;         ///< This host has the changes up to this; invalid: read everything.
-    Duration wait { 0 };    ///< How long the platform may hold the call until a change.
-    bool mayBeLate = false; ///< The answer may be some seconds old, which is cheaper.
+    Revision after;          ///< This host has the changes up to this; invalid: read everything.
+    Duration wait { 0 };     ///< How long the platform may hold the call until a change.
+    bool mayBeStale = false; ///< The answer may be some seconds old, which is cheaper.
 };
 
 /// Connect to whichever host accepts connections at the address of a seed.
--- a/include/flamingograde/directoryupdate.h
+++ b/include/flamingograde/directoryupdate.h
@@ -50,7 +50,7 @@
     std::vector<DirectoryFault> faulty;      ///< Get no new flows; `present` may contain their last
                                              ///< usable record, which is older.
     std::vector<ZoneEvacuation> evacuations; ///< A whole update omits ended ones.
-    Duration settlesIn { 0 }; ///< Delay of removals, as the upstreams may register again.
+    Duration removalsDeferredFor { 0 }; ///< Delay of removals, as the upstreams may register again.
     std::shared_ptr<const PacketRows> rows; ///< Null: unchanged.
 
     /// Returns whether this contains the whole directory. Precondition: none.
--- a/include/flamingograde/event.h
+++ b/include/flamingograde/event.h
@@ -153,7 +153,7 @@
 struct DirectoryRead
 {
     DirectoryUpdate update;
-    bool late = false; ///< The answer may have been out of date when it was sent.
+    bool stale = false; ///< The answer may have been out of date when it was sent.
 };
 
 /// Why a read of the directory failed.
--- a/include/flamingograde/finding.h
+++ b/include/flamingograde/finding.h
@@ -13,10 +13,10 @@
     std::string file;         ///< The file, or "table" for a table read from the platform.
     std::uint32_t line = 0;   ///< Counted from 1; 0 if the fault has no position.
     std::uint32_t column = 0; ///< Counted from 1; 0 if the fault has no position.
-    std::string what;         ///< Description of the fault.
-    std::string mend;         ///< How to correct it.
+    std::string message;      ///< Description of the fault.
+    std::string hint;         ///< How to correct it.
 
-    /// Returns "FILE:LINE:COLUMN: WHAT (MEND)".
+    /// Returns "FILE:LINE:COLUMN: MESSAGE (HINT)".
     [[nodiscard]] auto toString() const -> std::string;
 };
 
--- a/include/flamingograde/message.h
+++ b/include/flamingograde/message.h
@@ -26,9 +26,9 @@
 
 /// The purpose for which a host keeps a connection to another one.
 enum class LinkUse : std::uint8_t {
-    None,  ///< No purpose: it may be closed.
-    Spare, ///< In reserve, or to send changes to hosts of other zones.
-    Feed,  ///< To receive changes.
+    None,    ///< No purpose: it may be closed.
+    Spare,   ///< In reserve, or to send changes to hosts of other zones.
+    Changes, ///< To receive changes.
 };
 
 /// State that every membership message carries in addition to its own content.
@@ -119,7 +119,7 @@
 };
 
 /// A key whose request was dispatched.
-struct HandedKey
+struct DispatchedKey
 {
     std::uint64_t hash = 0; ///< `hashName` of the key's text.
     KeyState state = KeyState::Unknown;
@@ -134,8 +134,8 @@
 {
     CellId cell;
     std::int64_t knownSinceUs = 0; ///< Wall time in microseconds.
-    Revision tables; ///< Valid for keys that any table up to this one places in the cell.
-    std::vector<HandedKey> keys;
+    Revision coveredRevision; ///< Valid for keys that any table up to this one places in the cell.
+    std::vector<DispatchedKey> keys;
 };
 
 /// Promises that the sender runs no further request of the granted cells until it claims them.
--- a/include/flamingograde/packethead.h
+++ b/include/flamingograde/packethead.h
@@ -26,8 +26,8 @@
     Cookie cookie;                  ///< The last cookie that the caller received on this flow.
     std::uint32_t sequence = 0;     ///< Sequence number of the first byte of data.
     std::uint32_t acknowledged = 0; ///< Sequence number of the next byte that the caller expects.
-    std::uint32_t copy = 0;         ///< For an opening packet: how often it was sent before.
-    std::uint16_t dataBytes = 0;    ///< Length of its data.
+    std::uint32_t retransmissions = 0; ///< For an opening packet: how often it was sent before.
+    std::uint16_t dataBytes = 0;       ///< Length of its data.
     PacketFlags flags;
 };
 
--- a/include/flamingograde/upstream.h
+++ b/include/flamingograde/upstream.h
@@ -31,7 +31,7 @@
     UpstreamState state = UpstreamState::Active;
     InstanceId instance;    ///< Needed to send it packets; invalid: it gets no packets.
     Duration warmup { 0 };  ///< How much longer it is cold, counted from its report.
-    WallTime born;          ///< Time of its start by its own clock; 1970: not reported. After a
+    WallTime startedAt;     ///< Time of its start by its own clock; 1970: not reported. After a
                             ///< restart, an instance has no state from before.
     std::string version;    ///< Version of its software; empty if not reported.
     std::uint32_t line = 0; ///< Line of the upstream in the table's text.
--- a/src/core/admission/admissioncontroller.cpp
+++ b/src/core/admission/admissioncontroller.cpp
@@ -25,7 +25,7 @@
 /// Returns whether it is certain that the upstream no longer processes an ended request.
 auto hasUpstreamFinished(const RunningRequest &request) -> bool
 {
-    return request.answered || request.notSent || request.unrun;
+    return request.answered || request.notSent || request.notRun;
 }
 
 /// Replaces the slot time charged for an ended request by the time used, and adds the time to the
@@ -36,7 +36,7 @@
     const auto used = board.now.mono - request.since;
     correctCharge(row, request.charged, used);
     const auto timedOut = request.deadline <= board.now.mono;
-    const auto served = request.answered && !request.unrun && !request.failed;
+    const auto served = request.answered && !request.notRun && !request.failed;
     if (served || timedOut) {
         row.serviceTime.sample(std::min(used, request.deadline - request.since), board.now.mono);
     }
@@ -48,7 +48,7 @@
 {
     const auto offers = slotOffers(board, cell);
     const auto pause = expectedTimeToRoom(cell, row, offers, board.now.mono);
-    ++row.turnedAway;
+    ++row.refusedUnserved;
     refuse(board, *board.exchanges.find(row.waiting.back()), RefusalReason::QueueFull,
            clampRetryAfter(pause));
 }
@@ -94,11 +94,11 @@
     }
 }
 
-/// Calls `giveBack` for all waiting requests of a cell whose home is no longer this host.
+/// Calls `returnToPlacement` for all waiting requests of a cell whose home is no longer this host.
 auto giveBackWaiting(Blackboard &board, const Cell &cell) -> void
 {
     for (const auto id : board.cells.waitingIn(cell.id)) {
-        giveBack(board, *board.exchanges.find(id));
+        returnToPlacement(board, *board.exchanges.find(id));
     }
 }
 
@@ -106,7 +106,7 @@
 auto updateSlotCounts(Blackboard &board) -> void
 {
     for (auto &[id, cell] : board.cells.all()) {
-        cell.homed = board.tenure.since(id).has_value();
+        cell.isHomeHere = board.tenure.since(id).has_value();
         cell.slots = offeredSlots(slotOffers(board, cell));
     }
 }
@@ -137,7 +137,7 @@
     this->settleEnded(board);
     if (board.cells.revision != board.config.revision) {
         board.cells.revision = board.config.revision;
-        board.cells.follow(board.table());
+        board.cells.applyTable(board.table());
     }
     for (const auto id : std::exchange(board.toQueue, {})) {
         auto *exchange = board.exchanges.find(id);
@@ -176,7 +176,7 @@
 {
     const auto homed = board.tenure.since(exchange.cell).has_value();
     if (!homed && !board.tenure.isClaiming(exchange.cell)) {
-        giveBack(board, exchange);
+        returnToPlacement(board, exchange);
         return;
     }
     const auto *row = board.table().row(exchange.row);
@@ -211,8 +211,8 @@
 auto AdmissionController::settleCell(Blackboard &board, Cell &cell) -> void
 {
     board.cells.freeLingering(cell, board.now.mono);
-    cell.homed = board.tenure.since(cell.id).has_value();
-    if (cell.homed) {
+    cell.isHomeHere = board.tenure.since(cell.id).has_value();
+    if (cell.isHomeHere) {
         dispatchWaiting(board, cell);
     } else if (cell.waiting > 0 && !board.tenure.isClaiming(cell.id)) {
         giveBackWaiting(board, cell);
--- a/src/core/admission/fairorder.cpp
+++ b/src/core/admission/fairorder.cpp
@@ -18,7 +18,7 @@
 /// Returns the virtual time at which the next request of the row is expected to end.
 auto finishTag(const RowQueue &row) -> double
 {
-    return row.startTag + virtualCost(row, row.serviceTime.cost());
+    return row.startTag + virtualCost(row, row.serviceTime.mean());
 }
 
 /// Returns whether `a` is served before `b`. Precondition: both rows are eligible.
@@ -56,7 +56,7 @@
 
 auto chargeRow(RowQueue &row) -> Duration
 {
-    const auto time = row.serviceTime.cost();
+    const auto time = row.serviceTime.mean();
     row.startTag += virtualCost(row, time);
     return time;
 }
--- a/src/core/admission/rowqueue.h
+++ b/src/core/admission/rowqueue.h
@@ -26,7 +26,7 @@
     std::deque<ExchangeId> waiting;
     std::uint32_t running = 0;
     /// Requests refused because the queue was full, less the requests dispatched since.
-    std::uint32_t turnedAway = 0;
+    std::uint32_t refusedUnserved = 0;
     double startTag = 0; ///< Virtual time at which the next request may start.
     ServiceTime serviceTime;
 
--- a/src/core/admission/servicetime.cpp
+++ b/src/core/admission/servicetime.cpp
@@ -20,7 +20,7 @@
 {
     const auto value = std::chrono::duration<double>(time).count();
     const auto distance = value - this->meanSeconds;
-    if (this->likely(now).has_value()) {
+    if (this->upperEstimate(now).has_value()) {
         this->deviationSeconds +=
                 config::serviceTimeGain * (std::abs(distance) - this->deviationSeconds);
         this->meanSeconds += config::serviceTimeGain * distance;
@@ -32,7 +32,7 @@
     this->lastSample = now;
 }
 
-auto ServiceTime::likely(MonoTime now) const -> std::optional<Duration>
+auto ServiceTime::upperEstimate(MonoTime now) const -> std::optional<Duration>
 {
     if (!this->hasSample || now - this->lastSample > config::serviceTimeFresh) {
         return std::nullopt;
@@ -40,10 +40,10 @@
     return durationOf(this->meanSeconds + config::serviceTimeDeviations * this->deviationSeconds);
 }
 
-auto ServiceTime::cost() const -> Duration
+auto ServiceTime::mean() const -> Duration
 {
     if (!this->hasSample) {
-        return config::serviceTimeGuess;
+        return config::defaultServiceTime;
     }
     return durationOf(this->meanSeconds);
 }
--- a/src/core/admission/servicetime.h
+++ b/src/core/admission/servicetime.h
@@ -8,8 +8,8 @@
 namespace flamingograde {
 
 /// Exponentially weighted mean and mean deviation of service times. Without a sample for
-/// `config::serviceTimeFresh` the estimate is stale: `likely` returns nothing, and the next sample
-/// replaces the estimate.
+/// `config::serviceTimeFresh` the estimate is stale: `upperEstimate` returns nothing, and the next
+/// sample replaces the estimate.
 /// @remarks Not thread safe.
 class ServiceTime
 {
@@ -21,11 +21,11 @@
     /// `config::serviceTimeDeviations` deviations. Nothing before the first sample, or if the last
     /// one is older than `config::serviceTimeFresh` and therefore no ground to refuse requests.
     /// Precondition: none.
-    [[nodiscard]] auto likely(MonoTime now) const -> std::optional<Duration>;
+    [[nodiscard]] auto upperEstimate(MonoTime now) const -> std::optional<Duration>;
 
-    /// Returns the mean, also if stale, or `config::serviceTimeGuess` before the first sample.
+    /// Returns the mean, also if stale, or `config::defaultServiceTime` before the first sample.
     /// Precondition: none.
-    [[nodiscard]] auto cost() const -> Duration;
+    [[nodiscard]] auto mean() const -> Duration;
 
 private:
     double meanSeconds = 0;      ///< Mean service time.
--- a/src/core/admission/timeneeded.cpp
+++ b/src/core/admission/timeneeded.cpp
@@ -16,7 +16,7 @@
 {
     auto opens = MonoTime::max();
     for (const auto &offer : offers) {
-        opens = std::min(opens, board.upstreams.opensAt(offer.upstream->id));
+        opens = std::min(opens, board.upstreams.availableAt(offer.upstream->id));
     }
     return offers.empty() ? Duration { 0 } : opens - board.now.mono;
 }
@@ -38,7 +38,7 @@
         const auto *other = board.exchanges.find(id);
         before += other->bound && other->upstream == exchange.upstream && id != exchange.id ? 1 : 0;
     }
-    return row.serviceTime.cost() * (before / own->slots);
+    return row.serviceTime.mean() * (before / own->slots);
 }
 
 } // namespace
@@ -50,7 +50,7 @@
     if (offeredSlots(offers) == 0) {
         return timeUntilSlotOffered(board, offers);
     }
-    const auto service = row.serviceTime.likely(board.now.mono);
+    const auto service = row.serviceTime.upperEstimate(board.now.mono);
     if (!service.has_value()) {
         return std::nullopt;
     }
--- a/src/core/admission/waitestimate.cpp
+++ b/src/core/admission/waitestimate.cpp
@@ -34,7 +34,7 @@
 /// requests of the same row queued before it.
 auto workAhead(const Cell &cell, const RowQueue &row, std::size_t ahead) -> WorkAhead
 {
-    const auto ownCost = secondsOf(row.serviceTime.cost());
+    const auto ownCost = secondsOf(row.serviceTime.mean());
     const auto own = static_cast<double>(ahead);
     const auto until = own * ownCost / row.weight;
     WorkAhead work { own, own * ownCost };
@@ -42,7 +42,7 @@
         if (id == row.row || other.waiting.empty()) {
             continue;
         }
-        const auto cost = std::max(secondsOf(other.serviceTime.cost()), 1e-6);
+        const auto cost = std::max(secondsOf(other.serviceTime.mean()), 1e-6);
         const auto turns = std::floor(until * other.weight / cost + 1.0);
         const auto served = std::min(static_cast<double>(other.waiting.size()), turns);
         work.count += served;
@@ -58,7 +58,7 @@
     for (const auto &[id, request] : cell.running) {
         const auto &row = cell.rows.at(request.row);
         const auto elapsed = secondsOf(now - request.since);
-        left.push_back(std::max(secondsOf(row.serviceTime.cost()) - elapsed, 0.0));
+        left.push_back(std::max(secondsOf(row.serviceTime.mean()) - elapsed, 0.0));
     }
     std::sort(left.begin(), left.end());
     return left;
@@ -88,7 +88,7 @@
     if (row.concurrent != 0) {
         const auto before = static_cast<double>(ahead + row.running);
         const auto rounds = std::floor(before / row.concurrent);
-        wait = std::max(wait, (rounds - 0.5) * secondsOf(row.serviceTime.cost()));
+        wait = std::max(wait, (rounds - 0.5) * secondsOf(row.serviceTime.mean()));
     }
     return durationOf(std::max(wait, 0.0));
 }
@@ -96,7 +96,7 @@
 auto expectedTimeToRoom(const Cell &cell, const RowQueue &row, const std::vector<SlotOffer> &offers,
                         MonoTime now) -> Duration
 {
-    const auto refusedAhead = std::size_t { row.turnedAway };
+    const auto refusedAhead = std::size_t { row.refusedUnserved };
     return expectedWait(cell, row, refusedAhead, offers, now);
 }
 
--- a/src/core/blackboard.h
+++ b/src/core/blackboard.h
@@ -53,7 +53,7 @@
     Directory directory;             ///< Packet rows and upstreams, as the platform publishes them.
     bool directoryReadsFail = false; ///< This host's last read of the directory failed.
     PacketState packets;             ///< Tracked packet flows.
-    std::vector<Log> notes;          ///< Log lines caused by packets; written with the next tick.
+    std::vector<Log> pendingLogs;    ///< Log lines caused by packets; written with the next tick.
     MembershipState membership;      ///< The other hosts.
     LinkState links;                 ///< Connections that this host keeps with other hosts.
     TenureState tenure;              ///< The cells of which this host is the home.
@@ -73,7 +73,7 @@
 
     /// Appends an action to the outbox.
     template<typename A>
-    auto act(A action) -> void
+    auto addAction(A action) -> void
     {
         this->outbox.emplace_back(std::move(action));
     }
--- a/src/core/configuration/configcontroller.cpp
+++ b/src/core/configuration/configcontroller.cpp
@@ -183,7 +183,7 @@
 {
     if (gossip.placements == board.config.placements.digest()) {
         if (gossip.agreed) {
-            board.config.placements.agree(board.now.wall);
+            board.config.placements.markAgreed(board.now.wall);
         }
         if (!gossip.agreed || this->agreementTimeReceived) {
             return;
@@ -281,7 +281,7 @@
     ++board.stats.platformReads;
     this->isTableReadPending = true;
     this->tableReadDeadline = board.now.mono + wait + readTimeoutMargin;
-    board.act(ReadTable { this->newestKnown(board), wait });
+    board.addAction(ReadTable { this->newestKnown(board), wait });
 }
 
 auto ConfigController::readHosts(Blackboard &board) -> void
@@ -291,10 +291,10 @@
     this->hostReadDeadline = board.now.mono + readTimeoutMargin;
     const auto &membership = board.membership;
     const auto isStarting = board.now.mono - membership.startedAt < startupPeriod;
-    const auto isUnlisted = isStarting && !membership.listedSelf;
+    const auto isUnlisted = isStarting && !membership.everListedSelf;
     const Duration period = isUnlisted ? startupHostListPeriod : Duration(config::hostListPeriod);
     this->nextHostRead = board.now.mono + period;
-    board.act(ReadHosts {});
+    board.addAction(ReadHosts {});
 }
 
 auto ConfigController::notePlatformAnswer(Blackboard &board) -> void
--- a/src/core/configuration/tableadoption.cpp
+++ b/src/core/configuration/tableadoption.cpp
@@ -17,15 +17,15 @@
 {
     for (const auto &row : before.rows()) {
         if (after.rowAt(row.address) == nullptr) {
-            board.act(Unlisten { row.address });
+            board.addAction(Unlisten { row.address });
         }
     }
-    if (board.stop.closed) {
+    if (board.stop.listenersClosed) {
         return;
     }
     for (const auto &row : after.rows()) {
         if (before.rowAt(row.address) == nullptr) {
-            board.act(Listen { row.address });
+            board.addAction(Listen { row.address });
         }
     }
 }
--- a/src/core/configuration/tablespread.cpp
+++ b/src/core/configuration/tablespread.cpp
@@ -17,7 +17,7 @@
 /// while other hosts of its zone are reachable.
 auto hasEnded(const Blackboard &board, const MemberRecord &record) -> bool
 {
-    return record.member.state == MemberState::Dead && record.refusals >= config::refusalsOfDead
+    return record.member.state == MemberState::Dead && record.refusals >= config::refusalsUntilDead
            && !board.membership.voters(record.member.zone).empty();
 }
 
@@ -60,7 +60,7 @@
                || hasEnded(board, record) || !isHeardDirectly(board, record);
     };
     if (std::all_of(records.begin(), records.end(), hasSamePlacements)) {
-        placements.agree(board.now.wall);
+        placements.markAgreed(board.now.wall);
     }
 }
 
--- a/src/core/directory/directory.cpp
+++ b/src/core/directory/directory.cpp
@@ -26,7 +26,8 @@
 /// Returns whether `record` was written after another start of the process than `before`.
 auto isRestart(const DirectoryRecord &before, const DirectoryRecord &record) -> bool
 {
-    return record.upstream.born != WallTime() && before.upstream.born != record.upstream.born;
+    return record.upstream.startedAt != WallTime()
+           && before.upstream.startedAt != record.upstream.startedAt;
 }
 
 /// Returns whether a record cannot belong to the upstream known under its instance: two upstream
@@ -41,8 +42,8 @@
            || (isSameProcess && known.service != record.upstream.service);
 }
 
-/// Returns whether an active upstream showed a sign of life within `config::livingFor`, so that
-/// its removal does not mean that it stopped.
+/// Returns whether an active upstream showed a sign of life within `config::signOfLifeValidity`, so
+/// that its removal does not mean that it stopped.
 ///
 /// Protects open flows of running upstreams whose leases expired during a network partition. If
 /// such removals are applied at once, flows are reset: on six hosts whose zone was cut off for
@@ -51,15 +52,17 @@
 auto showedLifeRecently(const UpstreamEntry &entry, MonoTime now) -> bool
 {
     return entry.record.upstream.state == UpstreamState::Active
-           && entry.evidence.heard != MonoTime() && now - entry.evidence.heard < config::livingFor;
+           && entry.evidence.lastHeardAt != MonoTime()
+           && now - entry.evidence.lastHeardAt < config::signOfLifeValidity;
 }
 
-/// Adds the services of `row` to `had`, without duplicates.
-auto addServices(const PacketRow &row, std::vector<ServiceId> &had) -> void
+/// Adds the services of `row` to `servicesEverHad`, without duplicates.
+auto addServices(const PacketRow &row, std::vector<ServiceId> &servicesEverHad) -> void
 {
     for (const auto &share : row.shares) {
-        if (std::find(had.begin(), had.end(), share.service) == had.end()) {
-            had.push_back(share.service);
+        if (std::find(servicesEverHad.begin(), servicesEverHad.end(), share.service)
+            == servicesEverHad.end()) {
+            servicesEverHad.push_back(share.service);
         }
     }
 }
@@ -75,13 +78,13 @@
 {
     const auto &upstream = entry.record.upstream;
     return entry.presence != Presence::Removed && entry.ownsCookie && !entry.isFaulty
-           && !entry.isDoubted && upstream.state == UpstreamState::Active
+           && !entry.isRemovalContested && upstream.state == UpstreamState::Active
            && !this->zoneEvacuations.isEvacuated(upstream.zone);
 }
 
 auto Directory::acceptsOpening(const UpstreamEntry &entry) const -> bool
 {
-    return this->acceptsNewFlows(entry) && entry.hasColdRoom();
+    return this->acceptsNewFlows(entry) && entry.coldLimitAllowsFlow();
 }
 
 auto Directory::coldLimitOf(ServiceId service) const -> const ColdLimit *
@@ -130,7 +133,7 @@
     }
 }
 
-auto Directory::take(const DirectoryUpdate &update, MonoTime now) -> DirectoryChanges
+auto Directory::apply(const DirectoryUpdate &update, MonoTime now) -> DirectoryChanges
 {
     DirectoryChanges changes;
     if (!(this->knownRevision < update.upTo)) {
@@ -140,7 +143,7 @@
         this->applyRecord(record, now, changes);
     }
     for (const auto &removal : update.removed) {
-        this->applyRemoval(removal, update.settlesIn, now, changes);
+        this->applyRemoval(removal, update.removalsDeferredFor, now, changes);
     }
     for (const auto &fault : update.faulty) {
         this->applyFault(fault, changes);
@@ -169,8 +172,8 @@
         this->applyFault({ record.upstream.instance, record.changed }, changes);
         return;
     }
-    // The platform's revisions order the starts. `born` is read from a wall clock that may step
-    // back, so it only distinguishes one start from another.
+    // The platform's revisions order the starts. `startedAt` is read from a wall clock that may
+    // step back, so it only distinguishes one start from another.
     if (!isNew && isRestart(entry.record, record)) {
         this->resetAfterRestart(entry, changes);
     }
@@ -182,12 +185,12 @@
     entry.newest = record.changed;
     entry.presence = Presence::Listed;
     entry.isFaulty = false;
-    entry.isDoubted = false;
+    entry.isRemovalContested = false;
     entry.warmAt = now + record.upstream.warmup;
     this->updateColdLimit(entry, now);
     if (!wasListed) {
         entry.since = now;
-        entry.evidence.forgetSilence();
+        entry.evidence.clearSilence();
         this->claimCookie(entry, changes);
         changes.listed.push_back(this->indexOf(entry));
     }
@@ -203,7 +206,7 @@
 /// new process.
 auto Directory::resetAfterRestart(UpstreamEntry &entry, DirectoryChanges &changes) -> void
 {
-    ++entry.life;
+    ++entry.restarts;
     entry.evidence = UpstreamEvidence();
     entry.allowance = ColdAllowance();
     changes.restarted.push_back(this->indexOf(entry));
@@ -225,8 +228,8 @@
     }
 }
 
-auto Directory::applyRemoval(const DirectoryRemoval &removal, Duration settlesIn, MonoTime now,
-                             DirectoryChanges &changes) -> void
+auto Directory::applyRemoval(const DirectoryRemoval &removal, Duration removalsDeferredFor,
+                             MonoTime now, DirectoryChanges &changes) -> void
 {
     const auto found = this->byInstance.find(removal.instance);
     if (found == this->byInstance.end()) {
@@ -239,14 +242,15 @@
     entry.newest = removal.at;
     --this->listed;
     ++this->unlistedEntries;
-    entry.isDoubted = settlesIn <= Duration(0);
-    if (entry.isDoubted && !showedLifeRecently(entry, now)) {
+    entry.isRemovalContested = removalsDeferredFor <= Duration(0);
+    if (entry.isRemovalContested && !showedLifeRecently(entry, now)) {
         this->remove(entry, now, changes);
         return;
     }
     entry.presence = Presence::Missing;
     entry.since = now;
-    entry.removalDue = now + (entry.isDoubted ? Duration(config::reappearTime) : settlesIn);
+    entry.removalDue =
+            now + (entry.isRemovalContested ? Duration(config::reappearTime) : removalsDeferredFor);
     changes.missing.push_back(this->indexOf(entry));
 }
 
@@ -267,7 +271,7 @@
         }
     }
     for (const auto instance : absent) {
-        this->applyRemoval({ instance, update.upTo }, update.settlesIn, now, changes);
+        this->applyRemoval({ instance, update.upTo }, update.removalsDeferredFor, now, changes);
     }
 }
 
@@ -283,8 +287,8 @@
     this->currentRows = rows;
     this->rowsByAddress.reserve(rows->rows.size());
     for (const auto &row : rows->rows) {
-        RowEntry entry { &row, std::move(before[row.address].had) };
-        addServices(row, entry.had);
+        RowEntry entry { &row, std::move(before[row.address].servicesEverHad) };
+        addServices(row, entry.servicesEverHad);
         this->rowsByAddress.emplace(row.address, std::move(entry));
     }
     this->coldLimits.clear();
@@ -407,8 +411,8 @@
         this->remove(entry, now, changes);
         return;
     }
-    entry.isDoubted = true;
-    entry.removalDue = entry.evidence.heard + config::livingFor;
+    entry.isRemovalContested = true;
+    entry.removalDue = entry.evidence.lastHeardAt + config::signOfLifeValidity;
     this->poolsStale = true;
 }
 
@@ -442,8 +446,9 @@
             continue;
         }
         update.removed.push_back({ entry.record.upstream.instance, entry.newest });
-        if (entry.presence == Presence::Missing && !entry.isDoubted) {
-            update.settlesIn = std::max(update.settlesIn, Duration(entry.removalDue - now));
+        if (entry.presence == Presence::Missing && !entry.isRemovalContested) {
+            update.removalsDeferredFor =
+                    std::max(update.removalsDeferredFor, Duration(entry.removalDue - now));
         }
     }
     if (this->currentRows != nullptr && update.after < this->currentRows->changed) {
@@ -482,7 +487,7 @@
 
 auto Directory::beginRequest(UpstreamEntry &entry) -> void
 {
-    ++entry.evidence.busy;
+    ++entry.evidence.pending;
     if (entry.isPooled) {
         ++this->pools[entry.record.upstream.service].nearBusy;
     }
@@ -490,10 +495,10 @@
 
 auto Directory::endRequest(UpstreamEntry &entry) -> void
 {
-    if (entry.evidence.busy == 0) {
+    if (entry.evidence.pending == 0) {
         return;
     }
-    --entry.evidence.busy;
+    --entry.evidence.pending;
     if (entry.isPooled) {
         --this->pools[entry.record.upstream.service].nearBusy;
     }
@@ -536,7 +541,7 @@
         (entry.isNear ? pool.near : pool.far).push_back(index);
         entry.isPooled = entry.isNear;
         pool.nearSlots += entry.isNear ? entry.record.upstream.slots : 0;
-        pool.nearBusy += entry.isNear ? entry.evidence.busy : 0;
+        pool.nearBusy += entry.isNear ? entry.evidence.pending : 0;
         return;
     }
     pool.silent.push_back(index);
--- a/src/core/directory/directory.h
+++ b/src/core/directory/directory.h
@@ -43,7 +43,7 @@
 
     /// Applies an update. Precondition: `canApply(update)`.
     /// @returns what changed; empty if the update is not newer than the directory.
-    auto take(const DirectoryUpdate &update, MonoTime now) -> DirectoryChanges;
+    auto apply(const DirectoryUpdate &update, MonoTime now) -> DirectoryChanges;
 
     /// Completes deferred removals that are due, and deletes tombstones older than
     /// `config::tombstoneTime`. Precondition: none.
@@ -59,7 +59,8 @@
     /// Returns the current rows, or null before the first update with rows.
     [[nodiscard]] auto rows() const -> const PacketRows * { return this->currentRows.get(); }
 
-    /// Returns when this host received its first rows; `RowEntry::had` covers the time since then.
+    /// Returns when this host received its first rows; `RowEntry::servicesEverHad` covers the time
+    /// since then.
     [[nodiscard]] auto rowsSince() const -> MonoTime { return this->firstRowsAt; }
 
     /// Returns the row that callers reach at `address`, or null. Precondition: none.
@@ -95,7 +96,7 @@
 
     /// Invalidates the pools after a change of an entry's evidence or presence; the next
     /// `poolOf()` rebuilds them. Precondition: none.
-    auto touchPools() -> void { this->poolsStale = true; }
+    auto invalidatePools() -> void { this->poolsStale = true; }
 
     /// Returns whether an entry accepts new flows. Does not consider whether it is silent.
     /// Precondition: `entry` is of this directory.
@@ -135,7 +136,7 @@
             -> void;
     auto applyFault(const DirectoryFault &fault, DirectoryChanges &changes) -> void;
     auto resetAfterRestart(UpstreamEntry &entry, DirectoryChanges &changes) -> void;
-    auto applyRemoval(const DirectoryRemoval &removal, Duration settlesIn, MonoTime now,
+    auto applyRemoval(const DirectoryRemoval &removal, Duration removalsDeferredFor, MonoTime now,
                       DirectoryChanges &changes) -> void;
     auto removeAbsent(const DirectoryUpdate &update, MonoTime now, DirectoryChanges &changes)
             -> void;
--- a/src/core/directory/directorycontroller.cpp
+++ b/src/core/directory/directorycontroller.cpp
@@ -117,7 +117,7 @@
 {
     this->started = true;
     ReadDirectory whole;
-    whole.mayBeLate = true;
+    whole.mayBeStale = true;
     this->read(board, whole);
 }
 
@@ -126,24 +126,24 @@
     ++board.stats.platformReads;
     this->readPending = true;
     this->readDeadline = board.now.mono + action.wait + 2 * config::directoryReadMargin;
-    board.act(action);
+    board.addAction(action);
 }
 
 auto DirectoryController::on(Blackboard &board, const DirectoryRead &read) -> void
 {
     this->readPending = false;
     this->needsFullRead = false;
-    this->standIn.noteRead(true);
+    this->fallbackReader.noteRead(true);
     this->backoff = Duration(0);
     this->platformAnswered(board);
     auto update = read.update;
-    update.settlesIn = this->removalDelay(board);
+    update.removalsDeferredFor = this->removalDelay(board);
     const auto hasChanges = board.directory.revision() < update.upTo;
     this->applyUpdate(board, update, board.init.self.id);
     this->nextRead = board.now.mono;
     if (hasChanges) {
-        const auto isRollout = board.now.mono - this->lastChange < 2 * config::directoryGather;
-        this->nextRead += isRollout ? Duration(config::directoryGather) : Duration(0);
+        const auto isRollout = board.now.mono - this->lastChange < 2 * config::rolloutReadPause;
+        this->nextRead += isRollout ? Duration(config::rolloutReadPause) : Duration(0);
         this->lastChange = board.now.mono;
     }
 }
@@ -159,7 +159,7 @@
         board.log(LogEvent::PlatformLost, "why=\"" + failed.why + "\"");
         return;
     }
-    this->standIn.noteRead(false);
+    this->fallbackReader.noteRead(false);
     if (!std::exchange(board.directoryReadsFail, true)) {
         board.log(LogEvent::PlatformLost, "why=\"" + failed.why + "\"");
         sendReadStatus(board);
@@ -207,7 +207,8 @@
         }
         this->noteContactRegained(board);
         auto accepted = *update;
-        accepted.settlesIn = std::max(accepted.settlesIn, this->removalDelay(board));
+        accepted.removalsDeferredFor =
+                std::max(accepted.removalsDeferredFor, this->removalDelay(board));
         this->applyUpdate(board, accepted, received.from);
     }
 }
@@ -276,16 +277,16 @@
 auto DirectoryController::isReadDue(Blackboard &board) -> bool
 {
     if (board.directory.revision().isValid()) {
-        if (board.now.mono - board.membership.startedAt < config::directoryMeetTime) {
+        if (board.now.mono - board.membership.startedAt < config::directoryStartGrace) {
             return false;
         }
-        if (StandIn::hasHub(board)) {
-            return this->standIn.isDue(board, staleAfter(board));
+        if (FallbackReader::hasHub(board)) {
+            return this->fallbackReader.isDue(board, staleAfter(board));
         }
     }
     const auto now = board.now.mono;
     const auto recheck = board.directoryReadsFail && now >= this->nextRecheck;
-    return isDirectoryReader(board) || recheck || StandIn::isHubTakeover(board)
+    return isDirectoryReader(board) || recheck || FallbackReader::isHubTakeover(board)
            || board.config.platformAge(now) > staleAfter(board);
 }
 
@@ -303,7 +304,7 @@
     ReadDirectory action;
     const auto isWhole = this->needsFullRead || !board.directory.revision().isValid();
     action.after = isWhole ? Revision() : board.directory.revision();
-    action.mayBeLate = isWhole && !this->needsFullRead;
+    action.mayBeStale = isWhole && !this->needsFullRead;
     // If no recent successful read is known, read without waiting for changes, so as to find out
     // soon whether the platform answers.
     const auto isRecentlyRead = board.config.platformAge(now) <= config::directorySilence;
@@ -318,7 +319,7 @@
     if (!board.directory.canApply(update)) {
         return; // Earlier changes are missing; the next gossip triggers a request for them.
     }
-    const auto changes = board.directory.take(update, board.now.mono);
+    const auto changes = board.directory.apply(update, board.now.mono);
     if (!changes.advanced) {
         return;
     }
@@ -326,7 +327,7 @@
     ++board.stats.directoryUpdates;
     board.stats.upstreamRestarts += changes.restarted.size();
     logChanges(board, changes);
-    push(board, spreadTargets(board, from), update);
+    push(board, forwardTargets(board, from), update);
     if (from == board.membership.self) {
         push(board, crossZoneRecipients(board), update);
     }
--- a/src/core/directory/directorycontroller.h
+++ b/src/core/directory/directorycontroller.h
@@ -21,8 +21,9 @@
 ///
 /// Only a few hosts watch the platform (see `isDirectoryReader`). They push changes to the hubs of
 /// their zone and to one host of each other zone; hubs push them on to the hosts that they serve
-/// (`spreadTargets`). A host that received no push learns of newer revisions by gossip and requests
-/// the changes. A host that hears of no successful read for too long reads the platform itself.
+/// (`forwardTargets`). A host that received no push learns of newer revisions by gossip and
+/// requests the changes. A host that hears of no successful read for too long reads the platform
+/// itself.
 /// @remarks Not thread safe. Throws nothing.
 class DirectoryController
 {
@@ -65,7 +66,7 @@
     /// `config::reappearTime` after the end of the last outage.
     [[nodiscard]] auto removalDelay(const Blackboard &board) const -> Duration;
 
-    StandIn standIn;
+    FallbackReader fallbackReader;
     bool started = false;
     bool readPending = false;
     bool needsFullRead = false; ///< The platform no longer has the changes since this revision.
--- a/src/core/directory/rowentry.h
+++ b/src/core/directory/rowentry.h
@@ -14,7 +14,7 @@
     const PacketRow *row = nullptr; ///< Points into the current `PacketRows`.
     /// Every service that the row has or had while this process ran: open flows stay with the
     /// service at which they were opened.
-    std::vector<ServiceId> had;
+    std::vector<ServiceId> servicesEverHad;
 };
 
 } // namespace flamingograde
--- a/src/core/directory/standin.cpp
+++ b/src/core/directory/standin.cpp
@@ -53,20 +53,20 @@
 
 } // namespace
 
-auto StandIn::hasHub(const Blackboard &board) -> bool
+auto FallbackReader::hasHub(const Blackboard &board) -> bool
 {
     return !board.links.isHub(board.membership.self)
            && anyConnectedHub(board, [](const MemberRecord &) { return true; });
 }
 
-auto StandIn::isHubTakeover(const Blackboard &board) -> bool
+auto FallbackReader::isHubTakeover(const Blackboard &board) -> bool
 {
     return board.links.isHub(board.membership.self)
            && board.config.platformAge(board.now.mono) > config::directorySilence
            && anyConnectedHub(board, [](const MemberRecord &record) { return record.readsFail; });
 }
 
-auto StandIn::isDue(Blackboard &board, Duration staleAfter) -> bool
+auto FallbackReader::isDue(Blackboard &board, Duration staleAfter) -> bool
 {
     if (this->isActive) {
         this->isActive = isDirectoryReader(board);
--- a/src/core/directory/standin.h
+++ b/src/core/directory/standin.h
@@ -16,7 +16,7 @@
 /// through the hubs. Protects the platform against a call per second from each host during an
 /// outage: 353 hosts made 3,289 calls in a day with an outage of 5 s and 716 starts.
 /// @remarks Not thread safe.
-class StandIn
+class FallbackReader
 {
 public:
     /// Returns whether this host is not a hub and is connected to an answering hub, so that it
--- a/src/core/directory/upstreamentry.h
+++ b/src/core/directory/upstreamentry.h
@@ -25,15 +25,15 @@
     DirectoryRecord record;
     Revision newest; ///< Revision of the last change or removal.
     Presence presence = Presence::Listed;
-    MonoTime since;             ///< When the presence last changed.
-    MonoTime removalDue;        ///< When a missing upstream is to be removed.
-    MonoTime warmAt;            ///< Until when it is cold, that is, slow after its start.
-    Cookie cookie;              ///< Derived from its instance.
-    bool ownsCookie = true;     ///< Whether the cookie maps to this entry.
-    bool isDoubted = false;     ///< Removed by the platform, but shows signs of life: open flows
-                                ///< continue while it does, new flows go elsewhere.
-    bool isFaulty = false;      ///< The platform's entry is unusable; open flows continue.
-    std::uint16_t life = 0;     ///< Number of restarts of its instance that this host has seen.
+    MonoTime since;                  ///< When the presence last changed.
+    MonoTime removalDue;             ///< When a missing upstream is to be removed.
+    MonoTime warmAt;                 ///< Until when it is cold, that is, slow after its start.
+    Cookie cookie;                   ///< Derived from its instance.
+    bool ownsCookie = true;          ///< Whether the cookie maps to this entry.
+    bool isRemovalContested = false; ///< Removed by the platform, but shows signs of life: open
+                                     ///< flows continue while it does, new flows go elsewhere.
+    bool isFaulty = false;           ///< The platform's entry is unusable; open flows continue.
+    std::uint16_t restarts = 0; ///< Number of restarts of its instance that this host has seen.
     bool isNear = false;        ///< In this host's availability zone.
     bool isPooled = false;      ///< Listed in `ServicePool::near` of its service.
     bool isColdLimited = false; ///< Cold, and its service has a cold limit.
@@ -41,7 +41,7 @@
     UpstreamEvidence evidence;
 
     /// Returns whether the cold limit, if one applies, allows this host another request.
-    [[nodiscard]] auto hasColdRoom() const -> bool
+    [[nodiscard]] auto coldLimitAllowsFlow() const -> bool
     {
         return !this->isColdLimited || this->allowance.hasToken();
     }
--- a/src/core/directory/upstreamevidence.h
+++ b/src/core/directory/upstreamevidence.h
@@ -13,11 +13,12 @@
 /// Load and signs of life of an upstream, derived from the packets that this host forwards.
 struct UpstreamEvidence
 {
-    std::uint32_t busy = 0;       ///< Pending requests and openings of this host's flows.
+    std::uint32_t pending = 0;    ///< Pending requests and openings of this host's flows.
     std::uint32_t unanswered = 0; ///< Requests and openings unanswered since the last sign of life.
-    LostRequests lost; ///< Of these: requests sent three times while other upstreams answered.
+    /// Of these: requests sent three times while other upstreams answered.
+    LostRequests lostRequests;
     std::optional<MonoTime> silentSince; ///< Since when it receives new flows only as trials.
-    MonoTime heard;                      ///< Time of the last sign of life.
+    MonoTime lastHeardAt;                ///< Time of the last sign of life.
     MonoTime nextTrial;                  ///< If silent: earliest time of the next trial.
     Duration trialPause { 0 };           ///< If silent: pause after the next trial.
     Duration handshake { 0 };            ///< Mean time from an opening to the caller's next packet.
@@ -27,10 +28,10 @@
 
     /// Clears all evidence that the upstream does not answer, after a sign that it does.
     /// Precondition: none.
-    auto forgetSilence() -> void
+    auto clearSilence() -> void
     {
         this->unanswered = 0;
-        this->lost.clear();
+        this->lostRequests.clear();
         this->silentSince.reset();
         this->nextTrial = MonoTime();
     }
--- a/src/core/dump.cpp
+++ b/src/core/dump.cpp
@@ -42,7 +42,7 @@
              { "peer", self.peer.toString() },
              { "relay", self.relay.toString() },
              { "stopping", board.stop.stopping },
-             { "closed", board.stop.closed } };
+             { "closed", board.stop.listenersClosed } };
 }
 
 /// Returns the time since the platform last answered, or null if it never did.
--- a/src/core/explain.cpp
+++ b/src/core/explain.cpp
@@ -58,7 +58,7 @@
 
 auto explainKey(const Blackboard &board, const Row &row, const std::string &key) -> json
 {
-    const auto zone = placementOfKey(board, row.service, key, keyBirthOf(key)).zone;
+    const auto zone = placementOfKey(board, row.service, key, keyCreationTime(key)).zone;
     if (!zone.isValid()) {
         return { { "why", "the service has no active upstream" } };
     }
@@ -66,7 +66,7 @@
     return { { "why", "the idempotency key decides the zone" },
              { "zone", zoneNameOf(board, cell) },
              { "home", board.membership.nameOf(board.membership.homeOf(cell, zone)) },
-             { "key_has_birth", keyBirthOf(key).has_value() } };
+             { "key_has_birth", keyCreationTime(key).has_value() } };
 }
 
 auto explainByLoad(const Blackboard &board, const Row &row) -> json
--- a/src/core/feeds/feedcontroller.cpp
+++ b/src/core/feeds/feedcontroller.cpp
@@ -35,7 +35,7 @@
     }
     feed.stage = FeedStage::Ending;
     ++board.stats.feedsEnded;
-    board.act(EndFeed { id });
+    board.addAction(EndFeed { id });
 }
 
 /// Ends the feed if its response head was forwarded to the caller; otherwise refuses it with
@@ -70,7 +70,7 @@
     action.service = upstream.serviceName;
     action.rowName = row.name;
     action.reopen = feed.headForwarded;
-    board.act(std::move(action));
+    board.addAction(std::move(action));
 }
 
 /// Returns whether a feed must stay at its upstream, because its caller has received events from
@@ -143,7 +143,7 @@
     if (reopening) {
         return head.status != statusOk;
     }
-    return saysUnrun(head) || head.status >= firstServerError;
+    return isNotRunResponse(head) || head.status >= firstServerError;
 }
 
 auto tokenFor(const Blackboard &board, const Feed &feed) -> std::string
@@ -162,14 +162,14 @@
         return;
     }
     if (isOpeningRefused(head, feed.headForwarded)) {
-        board.act(Cancel { id });
+        board.addAction(Cancel { id });
         return retryOpening(board, id, feed);
     }
     feed.stage = FeedStage::Open;
     feed.failures = 0;
     if (!feed.headForwarded) {
         feed.headForwarded = true;
-        board.act(PassAnswer { id, tokenFor(board, feed) });
+        board.addAction(PassAnswer { id, tokenFor(board, feed) });
     }
 }
 
@@ -204,7 +204,7 @@
         return;
     }
     if (feed->stage == FeedStage::Opening || feed->stage == FeedStage::Open) {
-        board.act(Cancel { id });
+        board.addAction(Cancel { id });
     }
     board.feeds.erase(id);
 }
@@ -237,7 +237,7 @@
 /// the ticks left, so that all are ended within `config::feedMoveTime`.
 auto feedsToEndThisTick(const Blackboard &board, std::size_t remaining) -> std::size_t
 {
-    const auto end = board.stop.since + config::leaveNotice + config::feedMoveTime;
+    const auto end = board.stop.since + config::stopNoticeTime + config::feedMoveTime;
     const auto ticks =
             std::max<Duration::rep>((end - board.now.mono) / Duration(config::tickPeriod), 1);
     return (remaining + static_cast<std::size_t>(ticks) - 1) / static_cast<std::size_t>(ticks);
@@ -267,7 +267,7 @@
                        [&](const ExchangeProgress &report) { onProgress(board, report); },
                        [&](const CallerLeft &left) { onCallerLeft(board, left.exchange); },
                        [&](const Tick &) {
-                           if (board.stop.closed) {
+                           if (board.stop.listenersClosed) {
                                endFeedsForStop(board);
                            }
                        },
--- a/src/core/homes/cell.h
+++ b/src/core/homes/cell.h
@@ -37,7 +37,7 @@
 struct Cell
 {
     CellId id;
-    bool homed = false;      ///< Whether this host was its home at the last check.
+    bool isHomeHere = false; ///< Whether this host was its home at the last check.
     std::uint32_t slots = 0; ///< Slots offered at the last check.
     double virtualTime = 0;  ///< Virtual time of the weighted fair queueing.
     std::size_t waiting = 0; ///< Queued requests of all rows.
--- a/src/core/homes/celldump.cpp
+++ b/src/core/homes/celldump.cpp
@@ -25,9 +25,9 @@
              { "urgency", row.urgency },
              { "waiting", row.waiting.size() },
              { "running", row.running },
-             { "turned_away", row.turnedAway },
+             { "turned_away", row.refusedUnserved },
              { "ahead_of_fair_share_s", row.startTag - cell.virtualTime },
-             { "service_ms", milliseconds(row.serviceTime.cost()) } };
+             { "service_ms", milliseconds(row.serviceTime.mean()) } };
 }
 
 } // namespace
@@ -53,14 +53,14 @@
         return json::object();
     }
     const auto closed =
-            std::max<Duration>(board.upstreams.opensAt(upstream.id) - now, Duration::zero());
+            std::max<Duration>(board.upstreams.availableAt(upstream.id) - now, Duration::zero());
     return { { "failures", health->failures },
              { "ejected", health->ejected },
              { "ejections", health->ejections },
              { "closed_for_ms", milliseconds(closed) },
              { "ramping", health->rampSince.has_value() },
              { "sheds", health->slotLimit.has_value() },
-             { "doubted", health->doubtedSince.has_value() },
+             { "doubted", health->failingProbesSince.has_value() },
              { "says_draining", health->saysDraining },
              { "load", health->load } };
 }
--- a/src/core/homes/cellstore.cpp
+++ b/src/core/homes/cellstore.cpp
@@ -73,7 +73,7 @@
 {
     std::vector<CellLoad> loads;
     for (const auto &[id, cell] : this->cells) {
-        if (cell.homed && (!cell.running.empty() || cell.waiting > 0)) {
+        if (cell.isHomeHere && (!cell.running.empty() || cell.waiting > 0)) {
             loads.push_back(loadOfCell(cell));
         }
     }
@@ -88,7 +88,7 @@
 auto CellStore::loadOf(CellId cell, MonoTime now) const -> std::optional<CellLoad>
 {
     const auto own = this->cells.find(cell);
-    if (own != this->cells.end() && own->second.homed) {
+    if (own != this->cells.end() && own->second.isHomeHere) {
         return loadOfCell(own->second);
     }
     const auto other = this->remoteLoads.find(cell);
@@ -194,7 +194,7 @@
     }
 }
 
-auto CellStore::follow(const Table &table) -> void
+auto CellStore::applyTable(const Table &table) -> void
 {
     for (auto &[id, cell] : this->cells) {
         for (auto &[rowId, queue] : cell.rows) {
--- a/src/core/homes/cellstore.h
+++ b/src/core/homes/cellstore.h
@@ -76,11 +76,11 @@
     auto freeLingering(Cell &cell, MonoTime now) -> void;
     /// Copies the settings of the rows from `table`, and removes rows and upstreams that are no
     /// longer in it and that no request uses.
-    auto follow(const Table &table) -> void;
+    auto applyTable(const Table &table) -> void;
     /// Returns the running requests that `remove` removed since the last call.
     [[nodiscard]] auto takeEnded() -> std::vector<RunningRequest>;
 
-    Revision revision; ///< Revision of the table last passed to `follow`.
+    Revision revision; ///< Revision of the table last passed to `applyTable`.
 
 private:
     /// The queue or the running requests that contain an exchange.
--- a/src/core/homes/claimant.cpp
+++ b/src/core/homes/claimant.cpp
@@ -44,7 +44,7 @@
     board.keys.inherit(cell, knowledge->keys, board.now.mono);
     const auto since = WallTime(Duration(knowledge->knownSinceUs));
     if (since < board.now.wall) {
-        tenure.inherited = KnownFrom { since, knowledge->tables };
+        tenure.inherited = KnownFrom { since, knowledge->coveredRevision };
     }
     return tenure;
 }
--- a/src/core/homes/giveback.cpp
+++ b/src/core/homes/giveback.cpp
@@ -6,9 +6,9 @@
 
 namespace flamingograde {
 
-auto giveBack(Blackboard &board, Exchange &exchange) -> void
+auto returnToPlacement(Blackboard &board, Exchange &exchange) -> void
 {
-    exchange.maybeSent = exchange.sentBefore;
+    exchange.maybeSent = exchange.earlierAttemptMaybeSent;
     if (exchange.origin == Origin::Relay) {
         exchange.stage = Stage::Admitting;
         refuse(board, exchange, RefusalReason::WrongHome, config::retryAfterMin);
--- a/src/core/homes/giveback.h
+++ b/src/core/homes/giveback.h
@@ -10,6 +10,6 @@
 /// host as not run, so that the sender places it again.
 /// Precondition: nothing of it was sent to an upstream.
 /// @remarks A relayed exchange no longer exists afterwards.
-auto giveBack(Blackboard &board, Exchange &exchange) -> void;
+auto returnToPlacement(Blackboard &board, Exchange &exchange) -> void;
 
 } // namespace flamingograde
--- a/src/core/homes/grantor.cpp
+++ b/src/core/homes/grantor.cpp
@@ -39,7 +39,7 @@
     auto known = knownFromNow(board, cell, atBegin);
     const auto after = board.now.wall - config::handoverWindow;
     auto keys = board.keys.handOver(cell, after, maxKeys, known.since);
-    return { cell, known.since.time_since_epoch().count(), known.tables, std::move(keys) };
+    return { cell, known.since.time_since_epoch().count(), known.coveredRevision, std::move(keys) };
 }
 
 /// Adds `cell` to `grant`, with its keys if this host was its last home.
@@ -78,7 +78,7 @@
         grantCell(board, handover, cell, request.cells.size(), grant);
     }
     if (!grant.refused.empty()) {
-        sendZoneView(board, from);
+        sendZoneMembers(board, from);
     }
     if (!grant.refused.empty() || !grant.granted.empty()) {
         sendPeer(board, from, std::move(grant));
--- a/src/core/homes/inheritedkeys.h
+++ b/src/core/homes/inheritedkeys.h
@@ -12,7 +12,7 @@
 /// The keys handed over for one cell, by their hash. All expire together.
 struct InheritedKeys
 {
-    std::unordered_map<std::uint64_t, HandedKey> keys;
+    std::unordered_map<std::uint64_t, DispatchedKey> keys;
     MonoTime expires;
 };
 
--- a/src/core/homes/knownfrom.h
+++ b/src/core/homes/knownfrom.h
@@ -10,7 +10,8 @@
 struct KnownFrom
 {
     WallTime since;
-    Revision tables; ///< `since` covers keys that tables up to this revision placed in other cells.
+    Revision coveredRevision; ///< `since` covers keys that tables up to this revision placed in
+                              ///< other cells.
 };
 
 } // namespace flamingograde
--- a/src/core/homes/tenurecontroller.cpp
+++ b/src/core/homes/tenurecontroller.cpp
@@ -58,8 +58,8 @@
         this->handledPauses = membership.pauses;
         this->endAllTenures(board, "after a pause of the process");
     }
-    if (this->handledDeaths != membership.deaths) {
-        this->handledDeaths = membership.deaths;
+    if (this->handledDeaths != membership.presumedDeaths) {
+        this->handledDeaths = membership.presumedDeaths;
         this->endAllTenures(board, "reported to be dead by another host");
     }
     if (hasOtherVoters(board) && membership.isIsolated(board.now.mono)) {
--- a/src/core/keys/idempotencykey.cpp
+++ b/src/core/keys/idempotencykey.cpp
@@ -67,7 +67,7 @@
     return key.size() <= config::keyBytesMax && std::all_of(key.begin(), key.end(), isVisible);
 }
 
-auto keyBirthOf(std::string_view key) -> std::optional<WallTime>
+auto keyCreationTime(std::string_view key) -> std::optional<WallTime>
 {
     const auto uuid = uuidPartOf(key);
     if (!isUuidV7(uuid)) {
--- a/src/core/keys/idempotencykey.h
+++ b/src/core/keys/idempotencykey.h
@@ -18,7 +18,7 @@
 /// Returns the creation time of a key that is a UUIDv7 (RFC 9562) or ends in a dot and one; nothing
 /// for any other key.
 /// @remarks Thread safe.
-[[nodiscard]] auto keyBirthOf(std::string_view key) -> std::optional<WallTime>;
+[[nodiscard]] auto keyCreationTime(std::string_view key) -> std::optional<WallTime>;
 
 /// Returns the zone name in a key `ZONE.UUID` whose UUID is a UUIDv7; empty for any other key.
 /// @remarks Thread safe.
--- a/src/core/keys/keycontroller.cpp
+++ b/src/core/keys/keycontroller.cpp
@@ -39,7 +39,7 @@
     }
     ++board.stats.replayed;
     board.log(LogEvent::KeyAnsweredAgain, "key=" + exchange.key);
-    board.act(ReplayAnswer { exchange.id, answer });
+    board.addAction(ReplayAnswer { exchange.id, answer });
     forget(board, exchange.id);
 }
 
@@ -82,7 +82,7 @@
 auto parkOrGiveBack(Blackboard &board, Exchange &exchange) -> void
 {
     if (!board.tenure.isClaiming(exchange.cell)) {
-        giveBack(board, exchange);
+        returnToPlacement(board, exchange);
         return;
     }
     if (board.keys.parkedCount() >= config::keysParkedMax) {
@@ -183,7 +183,7 @@
         board.keys.clear(event.exchange);
         return;
     case Progress::Answering:
-        if (event.head.has_value() && saysUnrun(*event.head)) {
+        if (event.head.has_value() && isNotRunResponse(*event.head)) {
             board.keys.clear(event.exchange);
         }
         return;
@@ -204,7 +204,7 @@
     report.state = reportedState(board, lookup);
     const auto known = board.keys.tenureOf(lookup.cell).value_or(KnownFrom { board.now.wall, {} });
     report.tenureSinceUs = toMicroseconds(knownFromNow(board, lookup.cell, known).since);
-    board.act(SendPeer { from, report });
+    board.addAction(SendPeer { from, report });
 }
 
 auto KeyController::onReport(Blackboard &board, HostId from, const KeyReport &report) -> void
@@ -225,7 +225,7 @@
         return;
     }
     const auto known = board.tenure.knownFrom(exchange->cell).value_or(KnownFrom {});
-    const KnownFrom reported { WallTime(Duration(report.tenureSinceUs)), known.tables };
+    const KnownFrom reported { WallTime(Duration(report.tenureSinceUs)), known.coveredRevision };
     if (!isProvablyFreshGiven(board, *exchange, reported)) {
         refuseKey(board, *exchange, RefusalReason::KeyUnknown, Verdict::Unknown);
         return;
@@ -249,14 +249,15 @@
 auto KeyController::admit(Blackboard &board, Exchange &exchange) -> void
 {
     exchange.stage = Stage::Admitting;
-    exchange.maybeSent = exchange.sentBefore;
-    const auto hasSharedKey = !exchange.idempotent && !exchange.ownKey && !exchange.key.empty();
+    exchange.maybeSent = exchange.earlierAttemptMaybeSent;
+    const auto hasSharedKey =
+            !exchange.idempotent && !exchange.hasGeneratedKey && !exchange.key.empty();
     if (!hasSharedKey) {
         board.toQueue.push_back(exchange.id);
         return;
     }
-    if (exchange.keyBirth.has_value()
-        && *exchange.keyBirth > board.now.wall + board.init.clockBound) {
+    if (exchange.keyCreated.has_value()
+        && *exchange.keyCreated > board.now.wall + board.init.clockBound) {
         refuse(board, exchange, RefusalReason::BadKey, Duration { 0 });
         return;
     }
@@ -276,7 +277,7 @@
     case KeyState::Unseen:
     case KeyState::Running:
         exchange.stage = Stage::Attached;
-        exchange.maybeSent = exchange.sentBefore || record.state == KeyState::Running;
+        exchange.maybeSent = exchange.earlierAttemptMaybeSent || record.state == KeyState::Running;
         board.keys.attach(name, exchange.id);
         return;
     case KeyState::Done:
@@ -309,7 +310,7 @@
     board.keys.reserve(name, exchange.id);
     exchange.stage = Stage::Looking;
     const auto sequence = board.keys.addLookup({ exchange.id, former, board.now.mono });
-    board.act(SendPeer { former, KeyLookup { sequence, exchange.cell, exchange.key } });
+    board.addAction(SendPeer { former, KeyLookup { sequence, exchange.cell, exchange.key } });
 }
 
 } // namespace flamingograde
--- a/src/core/keys/keyfreshness.cpp
+++ b/src/core/keys/keyfreshness.cpp
@@ -15,8 +15,8 @@
 auto isNewerThan(const Blackboard &board, const Exchange &exchange, WallTime from,
                  WallTime evictedUntil) -> bool
 {
-    if (exchange.keyBirth.has_value()) {
-        return *exchange.keyBirth > from + board.init.clockBound;
+    if (exchange.keyCreated.has_value()) {
+        return *exchange.keyCreated > from + board.init.clockBound;
     }
     const auto knownSince = std::max(from, evictedUntil);
     return board.now.wall > knownSince + config::keyLifetime + board.init.clockBound;
@@ -33,10 +33,11 @@
 auto isProvablyFreshGiven(const Blackboard &board, const Exchange &exchange, const KnownFrom &known)
         -> bool
 {
-    const auto placement = board.config.placements.find(
-            { exchange.service, exchange.key, exchange.keyBirth, board.now.wall, known.tables });
+    const auto placement =
+            board.config.placements.find({ exchange.service, exchange.key, exchange.keyCreated,
+                                           board.now.wall, known.coveredRevision });
     auto from = std::max(known.since, placement.since);
-    if (exchange.keyBirth.has_value()) {
+    if (exchange.keyCreated.has_value()) {
         from = std::max(from, board.keys.forgottenUntil(exchange.cell));
     }
     return isNewerThan(board, exchange, from, board.keys.evictedUntil(exchange.cell));
@@ -47,10 +48,10 @@
     const auto since = std::max(known.since, board.keys.forgottenUntil(cell));
     const auto &upstreams = board.table().upstreamsOf(cell);
     if (upstreams.empty()) {
-        return { PlacementHistory::never, {} };
+        return { PlacementHistory::unknownSince, {} };
     }
     const auto service = board.table().upstreams()[upstreams.front()].service;
-    const auto lastMove = board.config.placements.latestMove(service, known.tables);
+    const auto lastMove = board.config.placements.latestMove(service, known.coveredRevision);
     return { std::max(since, lastMove), board.config.revision };
 }
 
--- a/src/core/keys/keyregistry.cpp
+++ b/src/core/keys/keyregistry.cpp
@@ -20,12 +20,12 @@
     return found == times.end() ? WallTime {} : found->second;
 }
 
-auto dispatchTimeOf(const HandedKey &key) -> WallTime
+auto dispatchTimeOf(const DispatchedKey &key) -> WallTime
 {
     return WallTime(Duration(key.dispatchedUs));
 }
 
-auto isNewer(const HandedKey &a, const HandedKey &b) -> bool
+auto isNewer(const DispatchedKey &a, const DispatchedKey &b) -> bool
 {
     return a.dispatchedUs != b.dispatchedUs ? a.dispatchedUs > b.dispatchedUs : a.hash < b.hash;
 }
@@ -196,9 +196,9 @@
 }
 
 auto KeyRegistry::handOver(CellId cell, WallTime after, std::size_t limit,
-                           WallTime &knownSince) const -> std::vector<HandedKey>
+                           WallTime &knownSince) const -> std::vector<DispatchedKey>
 {
-    std::unordered_map<std::uint64_t, HandedKey> found;
+    std::unordered_map<std::uint64_t, DispatchedKey> found;
     const auto ofCell = this->inheritedKeys.find(cell);
     if (ofCell != this->inheritedKeys.end()) {
         for (const auto &[hash, key] : ofCell->second.keys) {
@@ -216,11 +216,11 @@
         if (entry.dispatched <= after) {
             knownSince = std::max(knownSince, entry.dispatched);
         } else if (this->isCurrent(entry)) {
-            const auto key = this->toHandedKey(entry);
+            const auto key = this->toDispatchedKey(entry);
             found[key.hash] = key;
         }
     }
-    std::vector<HandedKey> keys;
+    std::vector<DispatchedKey> keys;
     keys.reserve(found.size());
     for (const auto &[hash, key] : found) {
         keys.push_back(key);
@@ -233,7 +233,7 @@
     return keys;
 }
 
-auto KeyRegistry::inherit(CellId cell, const std::vector<HandedKey> &keys, MonoTime now) -> void
+auto KeyRegistry::inherit(CellId cell, const std::vector<DispatchedKey> &keys, MonoTime now) -> void
 {
     InheritedKeys newKeys;
     newKeys.expires = now + config::keyLifetime;
@@ -359,7 +359,7 @@
     record->answer = nullptr;
 }
 
-auto KeyRegistry::toHandedKey(const DispatchEntry &entry) const -> HandedKey
+auto KeyRegistry::toDispatchedKey(const DispatchEntry &entry) const -> DispatchedKey
 {
     const auto state = this->records.at(entry.name).state;
     return { hashName(entry.name.key), state, entry.dispatched.time_since_epoch().count() };
--- a/src/core/keys/keyregistry.h
+++ b/src/core/keys/keyregistry.h
@@ -98,10 +98,10 @@
     /// that is left out.
     /// @param limit maximum number of keys returned.
     [[nodiscard]] auto handOver(CellId cell, WallTime after, std::size_t limit,
-                                WallTime &knownSince) const -> std::vector<HandedKey>;
+                                WallTime &knownSince) const -> std::vector<DispatchedKey>;
     /// Stores the keys that the former home of `cell` handed over. Replaces those of an earlier
     /// handover.
-    auto inherit(CellId cell, const std::vector<HandedKey> &keys, MonoTime now) -> void;
+    auto inherit(CellId cell, const std::vector<DispatchedKey> &keys, MonoTime now) -> void;
     /// Returns the state in which a former home handed over `name`: `Done` or `Unknown`; nothing if
     /// it did not hand it over.
     [[nodiscard]] auto inherited(const KeyName &name) const -> std::optional<KeyState>;
@@ -135,7 +135,7 @@
     auto erase(const KeyName &name) -> void;
     auto storeAnswer(const KeyName &name, std::shared_ptr<const std::string> answer) -> void;
     auto dropAnswer(const KeyName &name) -> void;
-    [[nodiscard]] auto toHandedKey(const DispatchEntry &entry) const -> HandedKey;
+    [[nodiscard]] auto toDispatchedKey(const DispatchEntry &entry) const -> DispatchedKey;
     [[nodiscard]] auto isCurrent(const DispatchEntry &entry) const -> bool;
 
     std::size_t keysMax;
--- a/src/core/keys/placementhistory.cpp
+++ b/src/core/keys/placementhistory.cpp
@@ -134,7 +134,7 @@
 auto PlacementHistory::find(const PlacementQuery &query) const -> KeyPlacement
 {
     if (this->list.empty()) {
-        return { ZoneId(), never };
+        return { ZoneId(), unknownSince };
     }
     const auto newest = this->list.size() - 1;
     const auto index = this->indexEffectiveAt(query.birth.value_or(query.now));
@@ -147,7 +147,7 @@
         }
     }
     if (this->mayHaveMoved(index, query.service, placement.zone)) {
-        placement.since = never;
+        placement.since = unknownSince;
     }
     return placement;
 }
@@ -155,13 +155,14 @@
 auto PlacementHistory::latestMove(ServiceId service, Revision coveredRevision) const -> WallTime
 {
     if (this->list.empty()) {
-        return never;
+        return unknownSince;
     }
     const auto &first = this->list.front();
-    auto since = coveredRevision < first.revision ? first.agreed.value_or(never) : WallTime();
+    auto since =
+            coveredRevision < first.revision ? first.agreed.value_or(unknownSince) : WallTime();
     for (std::size_t i = 1; i < this->list.size(); ++i) {
         if (!haveSamePlacement(this->list[i - 1].zones, this->list[i].zones, service)) {
-            since = std::max(since, this->list[i].agreed.value_or(never));
+            since = std::max(since, this->list[i].agreed.value_or(unknownSince));
         }
     }
     return since;
@@ -182,7 +183,7 @@
     this->hash = digestOf(this->list);
 }
 
-auto PlacementHistory::agree(WallTime now) -> void
+auto PlacementHistory::markAgreed(WallTime now) -> void
 {
     for (auto &entry : this->list) {
         entry.agreed = entry.agreed.value_or(now);
@@ -234,7 +235,7 @@
         && time >= effectiveFrom(movingTable)) {
         return { zone, WallTime() };
     }
-    const auto agreed = movingTable.agreed.value_or(never);
+    const auto agreed = movingTable.agreed.value_or(unknownSince);
     const auto isMovedWithoutBirth = index > 0 && !query.birth;
     return { zone, isMovedWithoutBirth ? std::max(agreed, effectiveFrom(movingTable)) : agreed };
 }
--- a/src/core/keys/placementhistory.h
+++ b/src/core/keys/placementhistory.h
@@ -45,7 +45,7 @@
 
     /// Later than the birth of any key. As `KeyPlacement::since`, any key may have been run in
     /// another zone.
-    static constexpr WallTime never = WallTime(Duration::max() / 2);
+    static constexpr WallTime unknownSince = WallTime(Duration::max() / 2);
 
     /// Returns where a key is run; an invalid zone while no table is known. Precondition: none.
     [[nodiscard]] auto find(const PlacementQuery &query) const -> KeyPlacement;
@@ -65,7 +65,7 @@
 
     /// Sets `now` as the time of agreement of every placement that has none. Called when all hosts
     /// have the same placements.
-    auto agree(WallTime now) -> void;
+    auto markAgreed(WallTime now) -> void;
 
     /// Forgets placements that only apply to keys past their lifetime.
     auto expire(WallTime now) -> void;
--- a/src/core/membership/deathevidence.cpp
+++ b/src/core/membership/deathevidence.cpp
@@ -40,7 +40,7 @@
 auto isDeathCredible(const Blackboard &board, const MemberRecord &record) -> bool
 {
     const auto &membership = board.membership;
-    const auto refused = record.refusals >= config::refusalsOfDead;
+    const auto refused = record.refusals >= config::refusalsUntilDead;
     if (refused && isOnlyOtherHost(board, record)) {
         return true;
     }
@@ -54,7 +54,7 @@
     }
     const auto inOwnZone = isInOwnZone(board, record);
     return !inOwnZone || refused || knowsLocalHost(board, record)
-           || (unlisted && membership.listedSelf);
+           || (unlisted && membership.everListedSelf);
 }
 
 auto isSilentLongEnough(const Blackboard &board, const MemberRecord &record) -> bool
@@ -62,7 +62,7 @@
     const auto now = board.now.mono;
     const auto silence =
             now - std::max({ record.heard, record.lastReportedAliveAt, record.unansweredSince });
-    if (record.refusals >= config::refusalsOfDead) {
+    if (record.refusals >= config::refusalsUntilDead) {
         return silence >= config::refusedTimeout;
     }
     return now - record.changed >= config::suspicionTimeout && silence >= config::suspicionTimeout;
@@ -83,7 +83,7 @@
     }
     const auto *sender = board.membership.find(from);
     const auto isSenderInOwnZone = sender != nullptr && sender->zone == board.init.self.zone;
-    return isSenderInOwnZone || record.refusals >= config::refusalsOfDead
+    return isSenderInOwnZone || record.refusals >= config::refusalsUntilDead
            || knowsLocalHost(board, record);
 }
 
--- a/src/core/membership/dialer.cpp
+++ b/src/core/membership/dialer.cpp
@@ -35,7 +35,7 @@
             continue;
         }
         record->nextDial = now + dialTimeout;
-        board.act(ConnectPeer { host, record->member.peer });
+        board.addAction(ConnectPeer { host, record->member.peer });
     }
 }
 
@@ -45,7 +45,7 @@
     record.connected = true;
     record.backoff = 0ms;
     record.refusals = 0;
-    board.membership.touch();
+    board.membership.invalidateLookups();
 }
 
 auto Dialer::lost(Blackboard &board, const PeerDown &down) -> void
@@ -55,7 +55,7 @@
         return;
     }
     record->connected = false;
-    board.membership.touch();
+    board.membership.invalidateLookups();
     record->refusals += down.loss == PeerLoss::Refused ? 1 : 0;
     const auto maxBackoff = isInOwnZone(board, *record) ? maxBackoffOwnZone : maxBackoffOtherZone;
     record->backoff = std::clamp<Duration>(record->backoff * 2, minBackoff, maxBackoff);
--- a/src/core/membership/forgetting.cpp
+++ b/src/core/membership/forgetting.cpp
@@ -24,14 +24,14 @@
 
 } // namespace
 
-auto forgetMember(Blackboard &board, HostId host) -> void
+auto removeMember(Blackboard &board, HostId host) -> void
 {
-    board.act(DropPeer { host });
-    board.membership.touch();
+    board.addAction(DropPeer { host });
+    board.membership.invalidateLookups();
     board.membership.records().erase(host);
 }
 
-auto forgetGone(Blackboard &board) -> void
+auto removeExpiredMembers(Blackboard &board) -> void
 {
     std::vector<HostId> expired;
     for (const auto &[id, record] : board.membership.records()) {
@@ -40,7 +40,7 @@
         }
     }
     for (const auto host : expired) {
-        forgetMember(board, host);
+        removeMember(board, host);
     }
 }
 
--- a/src/core/membership/forgetting.h
+++ b/src/core/membership/forgetting.h
@@ -9,10 +9,10 @@
 
 /// Removes a member's record and drops the connection with it.
 /// Precondition: `host` is not the local host.
-auto forgetMember(Blackboard &board, HostId host) -> void;
+auto removeMember(Blackboard &board, HostId host) -> void;
 
 /// Removes the records of hosts that have been dead for long and that the platform does not list.
 /// Precondition: none.
-auto forgetGone(Blackboard &board) -> void;
+auto removeExpiredMembers(Blackboard &board) -> void;
 
 } // namespace flamingograde
--- a/src/core/membership/gossip.cpp
+++ b/src/core/membership/gossip.cpp
@@ -94,7 +94,7 @@
         return false;
     }
     ++board.stats.peerMessagesSent;
-    board.act(SendPeer { host, std::move(message) });
+    board.addAction(SendPeer { host, std::move(message) });
     return true;
 }
 
@@ -106,7 +106,7 @@
         return;
     }
     board.stats.peerMessagesSent += hosts.size();
-    board.act(SendPeers { std::move(hosts), std::move(message) });
+    board.addAction(SendPeers { std::move(hosts), std::move(message) });
 }
 
 auto makeGossip(Blackboard &board, HostId host) -> Gossip
@@ -130,7 +130,7 @@
     return makeMemberGossip(board, host, [](const Member &) { return true; });
 }
 
-auto sendZoneView(Blackboard &board, HostId host) -> void
+auto sendZoneMembers(Blackboard &board, HostId host) -> void
 {
     const auto isOwnZone = [zone = board.init.self.zone](const Member &member) {
         return member.zone == zone;
--- a/src/core/membership/gossip.h
+++ b/src/core/membership/gossip.h
@@ -31,7 +31,7 @@
 [[nodiscard]] auto shouldGossip(const Blackboard &board, const MemberRecord &record) -> bool;
 
 /// Sends `host` all known members of the local zone, so that both hosts reach the same view of it.
-auto sendZoneView(Blackboard &board, HostId host) -> void;
+auto sendZoneMembers(Blackboard &board, HostId host) -> void;
 
 /// Sends the latest changes to a few connected hosts, chosen at random, without waiting for the
 /// next probes.
--- a/src/core/membership/listexchange.cpp
+++ b/src/core/membership/listexchange.cpp
@@ -23,25 +23,26 @@
     auto &record = *board.membership.record(from);
     const auto now = board.now.mono;
     if (gossip.members == board.membership.digest()) {
-        record.isNew = false;
+        record.viewsNotCompared = false;
         record.viewDiffersSince.reset();
         return;
     }
     if (!record.viewDiffersSince) {
         record.viewDiffersSince = now;
     }
-    if (!record.isNew && now - *record.viewDiffersSince < config::viewsDiffer) {
+    if (!record.viewsNotCompared
+        && now - *record.viewDiffersSince < config::viewDifferenceTimeout) {
         return;
     }
     if (this->consumeAllowance(board)) {
         sendPeer(board, from, Ping { 0, makeFullGossip(board, from) });
-    } else if (record.isNew && isInOwnZone(board, record)) {
+    } else if (record.viewsNotCompared && isInOwnZone(board, record)) {
         // The hosts of a zone decide together who is home of a cell, so they need the same view.
-        sendZoneView(board, from);
+        sendZoneMembers(board, from);
     } else {
         return;
     }
-    record.isNew = false;
+    record.viewsNotCompared = false;
     record.viewDiffersSince = now;
 }
 
@@ -49,7 +50,7 @@
 {
     const std::chrono::duration<double> elapsed = board.now.mono - this->refilledAt;
     this->refilledAt = board.now.mono;
-    const auto capacity = static_cast<double>(config::listBytesAtOnce);
+    const auto capacity = static_cast<double>(config::listBytesBurst);
     const auto added = elapsed.count() * static_cast<double>(config::listBytesPerSecond);
     this->allowance = std::min(capacity, this->allowance + added);
     const auto bytes = bytesPerMember * static_cast<double>(board.membership.records().size());
--- a/src/core/membership/membermerge.cpp
+++ b/src/core/membership/membermerge.cpp
@@ -22,7 +22,7 @@
     record.remainingGossipSends =
             gossipSendFactor * static_cast<std::uint32_t>(std::ceil(std::log2(hosts + 1)));
     record.changed = board.now.mono;
-    board.membership.touch();
+    board.membership.invalidateLookups();
 }
 
 auto logState(Blackboard &board, const Member &member) -> void
@@ -62,7 +62,7 @@
         return;
     }
     if (update.state == MemberState::Dead && !isAnsweredByWholeZone(board)) {
-        ++board.membership.deaths;
+        ++board.membership.presumedDeaths;
     }
     board.log(LogEvent::MemberRefuted, "incarnation=" + std::to_string(update.incarnation));
     raiseIncarnation(board, update.incarnation);
@@ -89,7 +89,7 @@
         record.member = std::move(member);
         record.heard = board.now.mono;
         updateLeaving(record);
-        board.membership.touch();
+        board.membership.invalidateLookups();
     }
     return { record, added };
 }
--- a/src/core/membership/memberrecord.h
+++ b/src/core/membership/memberrecord.h
@@ -33,7 +33,7 @@
     std::optional<MonoTime> viewDiffersSince; ///< Since when its view of the fleet differs.
     bool readsFail = false;                   ///< Its directory reads fail, as last reported.
     bool connected = false;
-    bool isNew = false;            ///< Views were not compared since it connected.
+    bool viewsNotCompared = false; ///< Views were not compared since it connected.
     bool listed = false;           ///< In the platform's last host list.
     bool everListed = false;       ///< In any host list of the platform.
     bool leaving = false;          ///< Announced a stop; set until it is reported alive again.
--- a/src/core/membership/membershipcontroller.cpp
+++ b/src/core/membership/membershipcontroller.cpp
@@ -65,7 +65,7 @@
     if (!this->started) {
         this->start(board);
     }
-    if (this->pauses.notice(board)) {
+    if (this->pauses.detectPause(board)) {
         this->detector.reset(board);
         raiseIncarnation(board, 0);
     }
@@ -84,7 +84,7 @@
 auto MembershipController::start(Blackboard &board) -> void
 {
     this->started = true;
-    beginMembership(board);
+    initialiseMembership(board);
 }
 
 auto MembershipController::on(Blackboard &board, const HostsFetched &fetched) -> void
@@ -98,8 +98,8 @@
     }
     membership.listRead = true;
     membership.listedAt = board.now.mono;
-    membership.listedSelf = membership.record(membership.self)->everListed;
-    forgetGone(board);
+    membership.everListedSelf = membership.record(membership.self)->everListed;
+    removeExpiredMembers(board);
 }
 
 auto MembershipController::on(Blackboard &board, const PeerUp &up) -> void
@@ -113,7 +113,7 @@
     mergeMember(board, member.id, member);
     recordContact(board, *board.membership.record(member.id));
     this->dialer.connected(board, member.id);
-    board.membership.record(member.id)->isNew = true;
+    board.membership.record(member.id)->viewsNotCompared = true;
     sendPeer(board, member.id, Ping { 0, makeGossip(board, member.id) });
 }
 
@@ -155,7 +155,7 @@
 auto MembershipController::on(Blackboard &board, const SeedsRead &read) -> void
 {
     board.init.seedAddresses = read.addresses;
-    this->seeds.hurry();
+    this->seeds.dialWithNextTick();
 }
 
 auto MembershipController::on(Blackboard &board, const Tick & /*tick*/) -> void
--- a/src/core/membership/membershipcontroller.h
+++ b/src/core/membership/membershipcontroller.h
@@ -38,10 +38,10 @@
 
     MeshLinks mesh;
     Dialer dialer;
-    SeedDialer seeds { SeedEffort::All };
+    SeedDialer seeds { SeedDialMode::All };
     FailureDetector detector;
     ListExchange lists;
-    PauseWatch pauses;
+    PauseDetector pauses;
     bool started = false;
     bool deathAnnounced = false;
 };
--- a/src/core/membership/membershipstart.cpp
+++ b/src/core/membership/membershipstart.cpp
@@ -10,7 +10,7 @@
 
 namespace flamingograde {
 
-auto beginMembership(Blackboard &board) -> void
+auto initialiseMembership(Blackboard &board) -> void
 {
     auto &self = board.init.self;
     self.id = HostId::ofName(self.name);
--- a/src/core/membership/membershipstart.h
+++ b/src/core/membership/membershipstart.h
@@ -7,6 +7,6 @@
 
 /// Initialises the membership state, and adds the local host and the seeds named in its settings.
 /// Precondition: called once.
-auto beginMembership(Blackboard &board) -> void;
+auto initialiseMembership(Blackboard &board) -> void;
 
 } // namespace flamingograde
--- a/src/core/membership/membershipstate.cpp
+++ b/src/core/membership/membershipstate.cpp
@@ -106,7 +106,7 @@
     if (this->pauses > 0 && sinceResume < resumeGrace) {
         return false;
     }
-    if (this->listRead && this->listedSelf && this->listedAt >= this->resumedAt) {
+    if (this->listRead && this->everListedSelf && this->listedAt >= this->resumedAt) {
         return true;
     }
     if (this->lastAnsweredProbeAt >= this->resumedAt && sinceResume >= listExchangeGrace) {
--- a/src/core/membership/membershipstate.h
+++ b/src/core/membership/membershipstate.h
@@ -75,13 +75,13 @@
     }
 
     /// Marks look-ups and digest as out of date after a member was added, erased or changed.
-    auto touch() -> void
+    auto invalidateLookups() -> void
     {
         this->lookupsStale = true;
         this->digestStale = true;
     }
     /// Restricts `digest` to the hosts of `zone`. Precondition: none.
-    auto compareOnly(ZoneId zone) -> void
+    auto limitDigestTo(ZoneId zone) -> void
     {
         this->digestZone = zone;
         this->digestStale = true;
@@ -104,12 +104,12 @@
     MonoTime resumedAt;      ///< When this process started or last resumed from a pause.
     std::uint64_t pauses = 0; ///< Number of pauses of this process.
     /// How often hosts of the zone may have regarded the local host as dead.
-    std::uint64_t deaths = 0;
-    bool listedSelf = false; ///< The platform has listed the local host.
-    bool listRead = false;   ///< The platform's host list was read since the start.
-    MonoTime listedAt;       ///< When the platform's host list was last read.
-    bool hasSeeds = false;   ///< The settings name other hosts.
-    MonoTime startedAt;      ///< Time of the first event.
+    std::uint64_t presumedDeaths = 0;
+    bool everListedSelf = false; ///< The platform has listed the local host.
+    bool listRead = false;       ///< The platform's host list was read since the start.
+    MonoTime listedAt;           ///< When the platform's host list was last read.
+    bool hasSeeds = false;       ///< The settings name other hosts.
+    MonoTime startedAt;          ///< Time of the first event.
 
 private:
     std::map<HostId, MemberRecord> byId;
--- a/src/core/membership/pausewatch.cpp
+++ b/src/core/membership/pausewatch.cpp
@@ -8,7 +8,7 @@
 
 namespace flamingograde {
 
-auto PauseWatch::notice(Blackboard &board) -> bool
+auto PauseDetector::detectPause(Blackboard &board) -> bool
 {
     const auto now = board.now.mono;
     const Duration gap = now - this->lastEvent.value_or(now);
--- a/src/core/membership/pausewatch.h
+++ b/src/core/membership/pausewatch.h
@@ -11,12 +11,12 @@
 
 /// Treats a gap of more than `config::pauseThreshold` between two events as a pause of the process.
 /// @remarks Not thread safe.
-class PauseWatch
+class PauseDetector
 {
 public:
     /// Detects, counts and logs a pause. Precondition: called on each event, including the first.
     /// @returns whether the process was paused immediately before this event.
-    auto notice(Blackboard &board) -> bool;
+    auto detectPause(Blackboard &board) -> bool;
 
 private:
     std::optional<MonoTime> lastEvent;
--- a/src/core/membership/seeddialer.cpp
+++ b/src/core/membership/seeddialer.cpp
@@ -57,17 +57,17 @@
     }
     this->nextDial = board.now.mono + this->dialPeriod(board);
     const auto hasConnection = board.membership.connectedCount() > 0;
-    if (hasConnection && this->effort == SeedEffort::OneAtATime
+    if (hasConnection && this->mode == SeedDialMode::OneAtATime
         && !board.links.isHub(board.membership.self)) {
         return;
     }
     auto addresses = unconnectedSeeds(board);
-    if (this->effort == SeedEffort::OneAtATime && !addresses.empty()) {
+    if (this->mode == SeedDialMode::OneAtATime && !addresses.empty()) {
         std::shuffle(addresses.begin(), addresses.end(), board.random);
         addresses.resize(1);
     }
     for (const auto address : addresses) {
-        board.act(ConnectSeed { address });
+        board.addAction(ConnectSeed { address });
     }
 }
 
@@ -76,7 +76,7 @@
     if (board.membership.connectedCount() == 0) {
         return unconnectedPeriod;
     }
-    return this->effort == SeedEffort::All ? connectedPeriod : connectedHubPeriod;
+    return this->mode == SeedDialMode::All ? connectedPeriod : connectedHubPeriod;
 }
 
 } // namespace flamingograde
--- a/src/core/membership/seeddialer.h
+++ b/src/core/membership/seeddialer.h
@@ -10,7 +10,7 @@
 class Blackboard;
 
 /// Which seeds are dialled at once, and by which hosts.
-enum class SeedEffort : std::uint8_t {
+enum class SeedDialMode : std::uint8_t {
     All,        ///< Each host dials all seeds.
     OneAtATime, ///< Each host dials a random seed; once connected, only hubs go on dialling.
 };
@@ -24,18 +24,18 @@
 class SeedDialer
 {
 public:
-    explicit SeedDialer(SeedEffort chosen) : effort(chosen) {}
+    explicit SeedDialer(SeedDialMode chosen) : mode(chosen) {}
 
     /// Dials the seeds that are due. Precondition: called on each `Tick`.
     auto tick(Blackboard &board) -> void;
     /// Makes the next tick dial, because the seeds changed.
     /// Precondition: `tick` was called.
-    auto hurry() -> void { this->nextDial = MonoTime(); }
+    auto dialWithNextTick() -> void { this->nextDial = MonoTime(); }
 
 private:
     [[nodiscard]] auto dialPeriod(const Blackboard &board) const -> Duration;
 
-    SeedEffort effort;
+    SeedDialMode mode;
     MonoTime nextDial;
 };
 
--- a/src/core/overlay/newsspread.cpp
+++ b/src/core/overlay/changebroadcaster.cpp
@@ -1,5 +1,5 @@
 /// Batching of membership changes into messages.
-#include "core/overlay/newsspread.h"
+#include "core/overlay/changebroadcaster.h"
 
 #include "core/blackboard.h"
 #include "core/membership/gossip.h"
@@ -57,7 +57,7 @@
 
 auto ChangeBroadcaster::sendNow(Blackboard &board) -> void
 {
-    const auto targets = spreadTargets(board, board.membership.self);
+    const auto targets = forwardTargets(board, board.membership.self);
     if (targets.empty()) {
         return; // Kept until there is a host to send them to.
     }
--- a/src/core/overlay/lostmembers.cpp
+++ b/src/core/overlay/deadhostdetector.cpp
@@ -1,5 +1,5 @@
 /// When a suspected host is dialled, and when it is declared dead.
-#include "core/overlay/lostmembers.h"
+#include "core/overlay/deadhostdetector.h"
 
 #include "core/blackboard.h"
 #include "core/membership/ownzone.h"
@@ -86,7 +86,7 @@
     }
     if (now >= record.nextDial) {
         record.nextDial = now + dialPeriod;
-        board.act(ConnectPeer { record.member.id, record.member.peer });
+        board.addAction(ConnectPeer { record.member.id, record.member.peer });
     }
 }
 
--- a/src/core/overlay/linkchoice.cpp
+++ b/src/core/overlay/linkchoice.cpp
@@ -77,7 +77,7 @@
     return links;
 }
 
-auto spreadTargets(const Blackboard &board, HostId from) -> std::vector<HostId>
+auto forwardTargets(const Blackboard &board, HostId from) -> std::vector<HostId>
 {
     const auto isFromHub = from != board.membership.self && board.links.isHub(from);
     std::vector<HostId> targets;
@@ -85,7 +85,7 @@
         if (id == from || !record.connected || !isInOwnZone(board, record)) {
             continue;
         }
-        const auto usesSelfAsFeed = record.link.use == LinkUse::Feed;
+        const auto usesSelfAsFeed = record.link.use == LinkUse::Changes;
         if (usesSelfAsFeed || (!isFromHub && board.links.isHub(id))) {
             targets.push_back(id);
         }
--- a/src/core/overlay/linkchoice.h
+++ b/src/core/overlay/linkchoice.h
@@ -23,6 +23,6 @@
 /// hosts are returned, and never `from`.
 /// @param from the sender, or this host for changes of its own.
 /// Precondition: none.
-[[nodiscard]] auto spreadTargets(const Blackboard &board, HostId from) -> std::vector<HostId>;
+[[nodiscard]] auto forwardTargets(const Blackboard &board, HostId from) -> std::vector<HostId>;
 
 } // namespace flamingograde
--- a/src/core/overlay/linkkeeper.cpp
+++ b/src/core/overlay/linkmanager.cpp
@@ -1,5 +1,5 @@
 /// Timing of choices, dials and pings, and closing of idle connections.
-#include "core/overlay/linkkeeper.h"
+#include "core/overlay/linkmanager.h"
 
 #include "core/blackboard.h"
 #include "core/membership/gossip.h"
@@ -60,9 +60,9 @@
 {
     for (auto &[id, record] : board.membership.records()) {
         if (board.membership.connectedCount() > 1 && isIdle(board, record)) {
-            board.act(DropPeer { id });
+            board.addAction(DropPeer { id });
             record.connected = false;
-            board.membership.touch();
+            board.membership.invalidateLookups();
             board.membership.refresh();
         }
     }
@@ -120,7 +120,7 @@
 {
     const auto host = record.member.id;
     const auto self = board.membership.self;
-    const auto isFeed = board.links.useOf(host) == LinkUse::Feed;
+    const auto isFeed = board.links.useOf(host) == LinkUse::Changes;
     const auto isPingedOften = isFeed || (board.links.isHub(host) && board.links.isHub(self));
     record.link.nextPing = board.now.mono + (isPingedOften ? feedPingPeriod : otherPingPeriod);
     record.link.pingedAt = record.link.pingedAt.value_or(board.now.mono);
--- a/src/core/overlay/linkstate.h
+++ b/src/core/overlay/linkstate.h
@@ -29,7 +29,7 @@
     [[nodiscard]] auto useOf(HostId host) const -> LinkUse
     {
         if (host == this->feed) {
-            return LinkUse::Feed;
+            return LinkUse::Changes;
         }
         const auto found = std::find(this->wanted.begin(), this->wanted.end(), host);
         return found == this->wanted.end() ? LinkUse::None : LinkUse::Spare;
--- a/src/core/overlay/overlaycontroller.cpp
+++ b/src/core/overlay/overlaycontroller.cpp
@@ -40,7 +40,7 @@
     if (!this->started) {
         this->start(board);
     }
-    if (this->pauses.notice(board)) {
+    if (this->pauses.detectPause(board)) {
         LinkManager::reset(board);
     }
     ViewChanges changes;
@@ -59,8 +59,8 @@
 auto OverlayController::start(Blackboard &board) -> void
 {
     this->started = true;
-    beginMembership(board);
-    board.membership.compareOnly(board.init.self.zone);
+    initialiseMembership(board);
+    board.membership.limitDigestTo(board.init.self.zone);
     board.membership.record(board.membership.self)->link.hasUnsentChange = true;
     board.membership.refresh();
 }
@@ -72,7 +72,7 @@
     }
     auto &record = learnConnected(board, up.member, changes);
     this->links.connected(board, record);
-    record.isNew = true;
+    record.viewsNotCompared = true;
     auto gossip = makeGossip(board, record.member.id);
     if (!isInOwnZone(board, record)) {
         gossip.updates = introductionFor(board, record.member.zone);
@@ -116,7 +116,7 @@
 auto OverlayController::on(Blackboard &board, const SeedsRead &read) -> void
 {
     board.init.seedAddresses = read.addresses;
-    this->seeds.hurry();
+    this->seeds.dialWithNextTick();
 }
 
 auto OverlayController::on(Blackboard &board, const Tick & /*tick*/, ViewChanges &changes) -> void
--- a/src/core/overlay/overlaycontroller.h
+++ b/src/core/overlay/overlaycontroller.h
@@ -5,9 +5,9 @@
 #include "core/membership/listexchange.h"
 #include "core/membership/pausewatch.h"
 #include "core/membership/seeddialer.h"
-#include "core/overlay/linkkeeper.h"
-#include "core/overlay/lostmembers.h"
-#include "core/overlay/newsspread.h"
+#include "core/overlay/changebroadcaster.h"
+#include "core/overlay/deadhostdetector.h"
+#include "core/overlay/linkmanager.h"
 
 #include <flamingograde/clock.h>
 #include <flamingograde/event.h>
@@ -43,9 +43,9 @@
     LinkManager links;
     DeadHostDetector deadHosts;
     ChangeBroadcaster changeBroadcaster;
-    SeedDialer seeds { SeedEffort::OneAtATime };
+    SeedDialer seeds { SeedDialMode::OneAtATime };
     ListExchange lists;
-    PauseWatch pauses;
+    PauseDetector pauses;
     MonoTime nextTrim;
     bool started = false;
     bool departureAnnounced = false;
--- a/src/core/overlay/zoneview.cpp
+++ b/src/core/overlay/zoneview.cpp
@@ -38,7 +38,7 @@
 {
     record.changed = board.now.mono;
     record.leaving = record.member.state == MemberState::Leaving;
-    board.membership.touch();
+    board.membership.invalidateLookups();
     if (!isInOwnZone(board, record)) {
         return;
     }
@@ -103,7 +103,7 @@
         && !hubRankOf(member).isBefore(hubRankOf(worst->member))) {
         return false;
     }
-    forgetMember(board, worst->member.id);
+    removeMember(board, worst->member.id);
     return true;
 }
 
@@ -201,7 +201,7 @@
 
 auto trimView(Blackboard &board) -> void
 {
-    forgetGone(board);
+    removeExpiredMembers(board);
     std::map<ZoneId, std::size_t> contacts;
     for (const auto &[id, record] : board.membership.records()) {
         contacts[record.member.zone] += isInOwnZone(board, record) ? 0 : 1;
@@ -212,7 +212,7 @@
             if (worst == nullptr) {
                 break;
             }
-            forgetMember(board, worst->member.id);
+            removeMember(board, worst->member.id);
         }
     }
 }
--- a/src/core/packets/coldsharing.cpp
+++ b/src/core/packets/coldsharing.cpp
@@ -20,7 +20,7 @@
 /// Returns whether this host started too recently to know the other hosts of its zone.
 auto hasJustStarted(const Blackboard &board) -> bool
 {
-    return board.now.mono - board.membership.startedAt < config::directoryMeetTime;
+    return board.now.mono - board.membership.startedAt < config::directoryStartGrace;
 }
 
 /// Returns the rate of an owner: the cold limit, reduced if two owners together would exceed the
@@ -83,7 +83,7 @@
         const auto hadRate = entry.allowance.hasRate();
         entry.allowance.refill(rate, board.now.mono);
         if (hadRate != entry.allowance.hasRate()) {
-            directory.touchPools();
+            directory.invalidatePools();
         }
     }
 }
--- a/src/core/packets/flowchoice.cpp
+++ b/src/core/packets/flowchoice.cpp
@@ -19,13 +19,13 @@
     const auto &entry = board.directory.at(index);
     const auto slots = static_cast<double>(entry.record.upstream.slots)
                        * (board.now.mono < entry.warmAt ? coldSlotShare : 1.0);
-    return (entry.evidence.busy + 1) / slots;
+    return (entry.evidence.pending + 1) / slots;
 }
 
 /// Returns whether the flow need not avoid a candidate and its cold limit, if any, allows a flow.
 auto isEligible(const Blackboard &board, std::uint32_t index, const NewFlow &flow) -> bool
 {
-    return flow.avoid != index && board.directory.at(index).hasColdRoom();
+    return flow.avoid != index && board.directory.at(index).coldLimitAllowsFlow();
 }
 
 /// Finds the least busy of the candidates that it is given.
--- a/src/core/packets/flowentry.h
+++ b/src/core/packets/flowentry.h
@@ -32,7 +32,7 @@
     std::uint32_t sequence = 0;     ///< Sequence number of the caller's newest data.
     FlowStage stage = FlowStage::Free;
     bool awaitsFirstRequest = false; ///< This host placed it and no request has arrived on it.
-    std::uint16_t life = 0;          ///< The upstream's `UpstreamEntry::life`, to detect a restart.
+    std::uint16_t restarts = 0; ///< The upstream's `UpstreamEntry::restarts`, to detect a restart.
 };
 
 } // namespace flamingograde
--- a/src/core/packets/flowowner.cpp
+++ b/src/core/packets/flowowner.cpp
@@ -15,7 +15,8 @@
 auto hasHadService(const RowEntry &row, const UpstreamEntry &entry) -> bool
 {
     const auto service = entry.record.upstream.service;
-    return std::find(row.had.begin(), row.had.end(), service) != row.had.end();
+    return std::find(row.servicesEverHad.begin(), row.servicesEverHad.end(), service)
+           != row.servicesEverHad.end();
 }
 
 /// Returns whether flows may still be open that began before this host had any rows.
--- a/src/core/packets/flowwatch.cpp
+++ b/src/core/packets/flowwatch.cpp
@@ -28,7 +28,7 @@
 auto upstreamOf(Blackboard &board, const FlowEntry &flow) -> UpstreamEntry *
 {
     auto &entry = board.directory.at(flow.upstream);
-    return entry.cookie == flow.cookie && entry.life == flow.life ? &entry : nullptr;
+    return entry.cookie == flow.cookie && entry.restarts == flow.restarts ? &entry : nullptr;
 }
 
 /// Moves a flow to another stage, and updates the counts of pending requests and of used entries.
@@ -62,7 +62,7 @@
     flow.key = FlowKey::of(head);
     flow.upstream = upstream;
     flow.cookie = board.directory.at(upstream).cookie;
-    flow.life = board.directory.at(upstream).life;
+    flow.restarts = board.directory.at(upstream).restarts;
     flow.acknowledged = head.acknowledged;
     flow.sequence = head.sequence;
     flow.awaitsFirstRequest = false;
@@ -72,7 +72,8 @@
 /// through another host: an acknowledgement may then refer to data that was sent just as long ago.
 auto isStale(const Blackboard &board, const FlowEntry &flow) -> bool
 {
-    return FlowTable::clock(board.now.mono) - flow.lastPacketAt >= config::signFresh.count();
+    return FlowTable::clock(board.now.mono) - flow.lastPacketAt
+           >= config::acknowledgementFresh.count();
 }
 
 /// Handles the first packet after the opening one, which shows that the upstream answered.
@@ -201,7 +202,7 @@
 
 auto checkOpeningTimeouts(Blackboard &board) -> void
 {
-    constexpr auto timeout = static_cast<std::uint32_t>(config::handshakePatience.count());
+    constexpr auto timeout = static_cast<std::uint32_t>(config::handshakeTimeout.count());
     auto &openings = board.packets.openings;
     const auto now = FlowTable::clock(board.now.mono);
     while (const auto *opening = openings.oldest()) {
@@ -217,7 +218,7 @@
 /// Frees the entries of flows in the next part of the table whose requests have expired.
 auto expireRequests(Blackboard &board) -> void
 {
-    constexpr auto expiry = static_cast<std::uint32_t>(config::busyForget.count());
+    constexpr auto expiry = static_cast<std::uint32_t>(config::requestExpiry.count());
     auto &packets = board.packets;
     const auto now = FlowTable::clock(board.now.mono);
     const auto count = packets.flows.capacity() / ticksPerSweep;
@@ -286,7 +287,7 @@
 auto suspendEvidence(Blackboard &board) -> void
 {
     board.packets.openings.clear();
-    board.packets.evidenceValidFrom = board.now.mono + config::distrustTime;
+    board.packets.evidenceValidFrom = board.now.mono + config::evidenceHoldOff;
 }
 
 } // namespace flamingograde
--- a/src/core/packets/flowwatch.h
+++ b/src/core/packets/flowwatch.h
@@ -34,12 +34,12 @@
 auto stopTracking(Blackboard &board, FlowEntry &flow) -> void;
 
 /// Records openings that were not answered in time, and stops counting requests whose flow has had
-/// no packets for `config::busyForget`.
+/// no packets for `config::requestExpiry`.
 /// Precondition: to be called on each `Tick`, after the packets that arrived before it.
 auto checkFlowTimeouts(Blackboard &board) -> void;
 
 /// Discards the pending openings, and ignores unanswered openings and resends as evidence for
-/// `config::distrustTime`. Called when the process was paused or has just begun to read packets:
+/// `config::evidenceHoldOff`. Called when the process was paused or has just begun to read packets:
 /// callers whose packets waited in the buffer may have given up.
 auto suspendEvidence(Blackboard &board) -> void;
 
--- a/src/core/packets/lostrequests.h
+++ b/src/core/packets/lostrequests.h
@@ -9,7 +9,7 @@
 
 namespace flamingograde {
 
-/// The newest `config::lostFlows` requests that callers sent three times without an answer.
+/// The newest `config::lostRequestsMin` requests that callers sent three times without an answer.
 ///
 /// A conclusion drawn from them is only as recent as the oldest of them: a single new lost request
 /// does not make older ones recent again.
@@ -29,12 +29,12 @@
     /// Removes all. Precondition: none.
     auto clear() -> void { this->times = {}; }
 
-    /// Returns when the oldest of `config::lostFlows` requests was recorded, or nothing if there
-    /// are fewer. Precondition: none.
+    /// Returns when the oldest of `config::lostRequestsMin` requests was recorded, or nothing if
+    /// there are fewer. Precondition: none.
     [[nodiscard]] auto oldestAt() const -> std::optional<MonoTime> { return this->times.back(); }
 
 private:
-    std::array<std::optional<MonoTime>, config::lostFlows> times; ///< The newest first.
+    std::array<std::optional<MonoTime>, config::lostRequestsMin> times; ///< The newest first.
 };
 
 } // namespace flamingograde
--- a/src/core/packets/packetcontroller.cpp
+++ b/src/core/packets/packetcontroller.cpp
@@ -13,7 +13,7 @@
 
 /// A longer time between two ticks means that the process was paused: openings that were pending
 /// then may have been answered, and those answers may still be unread.
-constexpr Duration tickGapMax = config::tickPeriod + config::handshakePatience;
+constexpr Duration tickGapMax = config::tickPeriod + config::handshakeTimeout;
 
 } // namespace
 
@@ -29,10 +29,10 @@
     }
     checkFlowTimeouts(board);
     updateColdLimits(board);
-    for (auto &note : board.notes) {
-        board.act(std::move(note));
+    for (auto &note : board.pendingLogs) {
+        board.addAction(std::move(note));
     }
-    board.notes.clear();
+    board.pendingLogs.clear();
 }
 
 } // namespace flamingograde
--- a/src/core/packets/packetdump.cpp
+++ b/src/core/packets/packetdump.cpp
@@ -62,16 +62,17 @@
              { "state", isActive ? "active" : "draining" },
              { "presence", nameOf(entry.presence) },
              { "changed", entry.newest.number },
-             { "born_unix_ms", milliseconds(upstream.born.time_since_epoch()) },
+             { "born_unix_ms", milliseconds(upstream.startedAt.time_since_epoch()) },
              { "usable", !entry.isFaulty },
              { "slots", upstream.slots },
              { "cold_limited", entry.isColdLimited },
-             { "busy_here", evidence.busy },
+             { "busy_here", evidence.pending },
              { "silent", evidence.isSilent() },
              { "silent_ms_ago", ageJson(board, evidence.silentSince.value_or(MonoTime())) },
-             { "lost_ms_ago", ageJson(board, evidence.lost.oldestAt().value_or(MonoTime())) },
+             { "lost_ms_ago",
+               ageJson(board, evidence.lostRequests.oldestAt().value_or(MonoTime())) },
              { "unanswered", evidence.unanswered },
-             { "heard_ms_ago", ageJson(board, evidence.heard) },
+             { "heard_ms_ago", ageJson(board, evidence.lastHeardAt) },
              { "handshake_ms", milliseconds(evidence.handshake) },
              { "response_ms", milliseconds(evidence.response) } };
 }
@@ -125,13 +126,13 @@
     if (board.directory.evacuations().isEvacuated(entry.record.upstream.zone)) {
         return "its zone is evacuated";
     }
-    if (entry.isDoubted) {
+    if (entry.isRemovalContested) {
         return "removed, and still answering";
     }
     if (entry.isFaulty) {
         return "its entry cannot be used";
     }
-    if (!entry.hasColdRoom()) {
+    if (!entry.coldLimitAllowsFlow()) {
         return entry.allowance.hasRate() ? "cold: its request rate is used up"
                                          : "cold: this host has no share of its request rate";
     }
@@ -153,7 +154,7 @@
             candidates.push_back({ { "upstream", upstream.name },
                                    { "service_weight", share.weight },
                                    { "near", entry.isNear },
-                                   { "busy_here", entry.evidence.busy },
+                                   { "busy_here", entry.evidence.pending },
                                    { "slots", upstream.slots },
                                    { "closed", closedReason(board, entry) } });
         }
--- a/src/core/packets/packetnote.cpp
+++ b/src/core/packets/packetnote.cpp
@@ -16,7 +16,7 @@
     std::string text = " upstream=" + hexOf(target.instance) + "@" + target.address.toString();
     if (const auto *entry = board.directory.byCookie(Cookie::of(target.instance))) {
         text += " zone=" + entry->record.upstream.zoneName
-                + " busy=" + std::to_string(entry->evidence.busy)
+                + " busy=" + std::to_string(entry->evidence.pending)
                 + " slots=" + std::to_string(entry->record.upstream.slots)
                 + " heard_ms_ago=" + heardAgoText(board.now.mono, entry->evidence);
     }
@@ -40,7 +40,7 @@
     const auto &upstream = entry->record.upstream;
     const auto &evidence = entry->evidence;
     return " upstream=" + hexOf(upstream.instance) + "@" + upstream.address.toString()
-           + " lost_ms_ago=" + ageText(board, evidence.lost.oldestAt())
+           + " lost_ms_ago=" + ageText(board, evidence.lostRequests.oldestAt())
            + " silent_ms_ago=" + ageText(board, evidence.silentSince)
            + " heard_ms_ago=" + heardAgoText(board.now.mono, evidence);
 }
@@ -74,7 +74,7 @@
         text += describeRequest(board, head);
     }
     if (head.flags.opens) {
-        text += " copy=" + std::to_string(head.copy);
+        text += " copy=" + std::to_string(head.retransmissions);
     } else {
         text += " cookie=" + std::to_string(head.cookie.value);
     }
--- a/src/core/packets/packetsteering.cpp
+++ b/src/core/packets/packetsteering.cpp
@@ -66,7 +66,7 @@
 {
     const auto sentFor = FlowTable::clock(board.now.mono) - flow.sentAt;
     const auto isEvidenceValid = board.now.mono >= board.packets.evidenceValidFrom;
-    if (isEvidenceValid && sentFor >= config::handshakePatience.count()) {
+    if (isEvidenceValid && sentFor >= config::handshakeTimeout.count()) {
         recordUnanswered(board, flow.upstream, flow.sentAt);
     }
 }
@@ -83,7 +83,7 @@
 {
     const auto key = FlowKey::of(head);
     auto *known = board.packets.flows.find(key);
-    const auto isCopy = known != nullptr && head.copy > 0;
+    const auto isCopy = known != nullptr && head.retransmissions > 0;
     if (isCopy && known->stage != FlowStage::Opening) {
         return drop(PacketReason::AlreadyOpen);
     }
@@ -102,8 +102,9 @@
     trackOpening(board, entryFor(board, known, key), head, *chosen);
     auto &entry = board.directory.at(*chosen);
     auto decision = forward(entry, head,
-                            head.copy > 0 ? PacketReason::PlacedElsewhere : PacketReason::Placed);
-    if (head.copy == 0) {
+                            head.retransmissions > 0 ? PacketReason::PlacedElsewhere
+                                                     : PacketReason::Placed);
+    if (head.retransmissions == 0) {
         const auto &pool = board.directory.poolOf(entry.record.upstream.service);
         const auto trial = startDueTrial(board, pool);
         if (trial && *trial != *chosen) {
--- a/src/core/packets/silence.cpp
+++ b/src/core/packets/silence.cpp
@@ -21,19 +21,19 @@
     evidence.trialPause = config::trialPause;
     evidence.nextTrial = board.now.mono + evidence.trialPause;
     ++board.stats.upstreamsSilenced;
-    board.directory.touchPools();
-    board.notes.push_back({ LogEvent::UpstreamSilent,
-                            describeUpstream(entry)
-                                    + " unanswered=" + std::to_string(evidence.unanswered)
-                                    + " heard_ms_ago=" + heardAgoText(board.now.mono, evidence) });
+    board.directory.invalidatePools();
+    board.pendingLogs.push_back(
+            { LogEvent::UpstreamSilent,
+              describeUpstream(entry) + " unanswered=" + std::to_string(evidence.unanswered)
+                      + " heard_ms_ago=" + heardAgoText(board.now.mono, evidence) });
 }
 
 /// Counts and logs that a silent upstream was heard again.
 auto reportHeardAgain(Blackboard &board, UpstreamEntry &entry) -> void
 {
     ++board.stats.upstreamsHeardAgain;
-    board.directory.touchPools();
-    board.notes.push_back({ LogEvent::UpstreamHeard, describeUpstream(entry) });
+    board.directory.invalidatePools();
+    board.pendingLogs.push_back({ LogEvent::UpstreamHeard, describeUpstream(entry) });
 }
 
 /// Returns whether something sent at `sent` is evidence about the upstream as it is listed now: an
@@ -54,18 +54,18 @@
 
 auto heardAgoText(MonoTime now, const UpstreamEvidence &evidence) -> std::string
 {
-    if (evidence.heard == MonoTime()) {
+    if (evidence.lastHeardAt == MonoTime()) {
         return "never";
     }
-    return std::to_string(milliseconds(now - evidence.heard));
+    return std::to_string(milliseconds(now - evidence.lastHeardAt));
 }
 
 auto recordHeard(Blackboard &board, std::uint32_t upstream) -> void
 {
     auto &entry = board.directory.at(upstream);
     const auto wasSilent = entry.evidence.isSilent();
-    entry.evidence.heard = board.now.mono;
-    entry.evidence.forgetSilence();
+    entry.evidence.lastHeardAt = board.now.mono;
+    entry.evidence.clearSilence();
     board.packets.lastHeard = board.now.mono;
     if (wasSilent) {
         reportHeardAgain(board, entry);
@@ -92,7 +92,7 @@
     const auto reachesOthers = packets.answeredSince <= sent
                                && packets.lastAnsweredSentAt >= sent + config::resendTime;
     if (reachesOthers && concernsListing(entry, sent)) {
-        entry.evidence.lost.add(board.now.mono);
+        entry.evidence.lostRequests.add(board.now.mono);
     }
 }
 
@@ -115,8 +115,8 @@
 auto isPresumedDead(const Blackboard &board, const UpstreamEntry &entry) -> bool
 {
     const auto &evidence = entry.evidence;
-    const auto oldestAt = evidence.lost.oldestAt();
-    const auto isFresh = oldestAt && board.now.mono - *oldestAt < config::lostFresh;
+    const auto oldestAt = evidence.lostRequests.oldestAt();
+    const auto isFresh = oldestAt && board.now.mono - *oldestAt < config::lostRequestsFresh;
     return evidence.isSilent() && isFresh && entry.isNear
            && board.now.mono >= board.packets.evidenceValidFrom;
 }
--- a/src/core/packets/silence.h
+++ b/src/core/packets/silence.h
@@ -38,11 +38,11 @@
 
 /// Returns whether the evidence that an upstream is silent is strong enough to reset open flows.
 ///
-/// The upstream must be silent, and `config::lostFlows` callers must have sent it a request three
-/// times within the last `config::lostFresh` while other upstreams answered this host. A reset
-/// cannot be undone, so older evidence does not count, nor evidence from before the upstream was
-/// last listed. Upstreams of other zones never qualify, as their whole zone may be cut off.
-/// Precondition: `entry` is of the board's directory.
+/// The upstream must be silent, and `config::lostRequestsMin` callers must have sent it a request
+/// three times within the last `config::lostRequestsFresh` while other upstreams answered this
+/// host. A reset cannot be undone, so older evidence does not count, nor evidence from before the
+/// upstream was last listed. Upstreams of other zones never qualify, as their whole zone may be cut
+/// off. Precondition: `entry` is of the board's directory.
 [[nodiscard]] auto isPresumedDead(const Blackboard &board, const UpstreamEntry &entry) -> bool;
 
 /// Returns the milliseconds since an upstream was last heard, or "never", as text for the log.
--- a/src/core/placement/cellhomeplacement.cpp
+++ b/src/core/placement/cellhomeplacement.cpp
@@ -93,7 +93,7 @@
         -> bool
 {
     const auto key = keyInZone(zoneNameOf(board, choice.cell), exchange.key);
-    return placementOfKey(board, exchange.service, key, exchange.keyBirth).zone == choice.zone;
+    return placementOfKey(board, exchange.service, key, exchange.keyCreated).zone == choice.zone;
 }
 
 auto placeByLoad(Blackboard &board, const Exchange &exchange, std::vector<CellChoice> choices)
@@ -103,20 +103,21 @@
         const auto hasZones = !board.table().zonesOf(exchange.service).empty();
         return NoPlacement { hasZones ? RefusalReason::NoHome : RefusalReason::NoUpstream, false };
     }
-    if (exchange.ownKey) {
+    if (exchange.hasGeneratedKey) {
         removeUnlessAll(choices, [&](const CellChoice &choice) {
             return !isKeyPlacedInZone(board, exchange, choice);
         });
     }
     removeUnlessAll(choices, [](const CellChoice &choice) { return !choice.ready; });
     removeUnlessAll(choices,
-                    [&](const CellChoice &choice) { return choice.cell == exchange.avoid; });
+                    [&](const CellChoice &choice) { return choice.cell == exchange.avoidCell; });
     return placeInZone(board, exchange.service, leastPlaced(board, choices).zone);
 }
 
 auto placeByKey(const Blackboard &board, const Exchange &exchange) -> PlacementDecision
 {
-    const auto zone = placementOfKey(board, exchange.service, exchange.key, exchange.keyBirth).zone;
+    const auto zone =
+            placementOfKey(board, exchange.service, exchange.key, exchange.keyCreated).zone;
     if (!zone.isValid()) {
         return NoPlacement { RefusalReason::NoUpstream, false };
     }
@@ -127,7 +128,7 @@
 auto placeWithoutCounting(Blackboard &board, Exchange &exchange,
                           const std::vector<CellChoice> &choices) -> PlacementDecision
 {
-    if (!exchange.idempotent && !exchange.ownKey) {
+    if (!exchange.idempotent && !exchange.hasGeneratedKey) {
         return placeByKey(board, exchange);
     }
     exchange.bound = exchange.upstream.isValid() && exchange.attempt == 0
--- a/src/core/placement/steeringcontroller.cpp
+++ b/src/core/placement/steeringcontroller.cpp
@@ -26,7 +26,7 @@
 /// finds its own zone in the key.
 auto prefixGeneratedKey(const Blackboard &board, Exchange &exchange, CellId cell) -> void
 {
-    if (!exchange.ownKey) {
+    if (!exchange.hasGeneratedKey) {
         return;
     }
     const auto zoneName = zoneNameOf(board, cell);
@@ -58,7 +58,7 @@
     action.upstream = exchange.bound ? exchange.upstream : UpstreamId();
     action.key = exchange.key;
     action.remaining = exchange.deadline - board.now.mono;
-    board.act(std::move(action));
+    board.addAction(std::move(action));
 }
 
 /// Dispatches the exchange to `upstream` directly, without a home, for a baseline.
@@ -73,7 +73,7 @@
     exchange.maybeSent = true;
     ++exchange.attempt;
     ++board.stats.dispatched;
-    board.act(dispatchOf(board, exchange, row.name, *entry));
+    board.addAction(dispatchOf(board, exchange, row.name, *entry));
 }
 
 /// Schedules another placement after an exponentially growing delay. Refuses the exchange if a
@@ -154,7 +154,7 @@
 
 auto SteeringController::handle(Blackboard &board, const Event &) -> void
 {
-    for (const auto id : board.exchanges.takeToPlace(board.now.mono)) {
+    for (const auto id : board.exchanges.takeDueForPlacement(board.now.mono)) {
         board.toPlace.push_back(id);
     }
 }
--- a/src/core/placement/upstreamchoice.cpp
+++ b/src/core/placement/upstreamchoice.cpp
@@ -99,7 +99,7 @@
     return best;
 }
 
-auto countServed(Cell &cell, const std::vector<SlotOffer> &offers, const SlotOffer &offer) -> void
+auto countDispatch(Cell &cell, const std::vector<SlotOffer> &offers, const SlotOffer &offer) -> void
 {
     auto least = std::numeric_limits<double>::max();
     auto fewestSlots = offer.slots;
--- a/src/core/placement/upstreamchoice.h
+++ b/src/core/placement/upstreamchoice.h
@@ -43,6 +43,7 @@
 
 /// Counts a dispatch to `offer` in `cell`, so that equally loaded upstreams get requests in
 /// proportion to their slots over time.
-auto countServed(Cell &cell, const std::vector<SlotOffer> &offers, const SlotOffer &offer) -> void;
+auto countDispatch(Cell &cell, const std::vector<SlotOffer> &offers, const SlotOffer &offer)
+        -> void;
 
 } // namespace flamingograde
--- a/src/core/requests/arrivalcontroller.cpp
+++ b/src/core/requests/arrivalcontroller.cpp
@@ -40,7 +40,7 @@
 /// host at once. Requests that arrive on connections accepted before that are still served.
 auto checkStopState(const Blackboard &board, const Row &row) -> std::optional<Rejection>
 {
-    if (board.stop.closed && row.kind == RequestKind::Feed) {
+    if (board.stop.listenersClosed && row.kind == RequestKind::Feed) {
         return Rejection { RefusalReason::Stopping, config::retryAfterMin };
     }
     return std::nullopt;
@@ -66,7 +66,7 @@
     if (!isWellFormedKey(arrived.key)) {
         return Rejection { RefusalReason::BadKey, noRetryAfter };
     }
-    const auto birth = keyBirthOf(arrived.key);
+    const auto birth = keyCreationTime(arrived.key);
     if (birth && *birth > board.now.wall + board.init.clockBound) {
         return Rejection { RefusalReason::BadKey, noRetryAfter };
     }
@@ -141,9 +141,9 @@
     exchange.key = key;
     if (!exchange.idempotent && key.empty()) {
         exchange.key = makeUuidV7(board.random, board.now.wall);
-        exchange.ownKey = true;
+        exchange.hasGeneratedKey = true;
     }
-    exchange.keyBirth = keyBirthOf(exchange.key);
+    exchange.keyCreated = keyCreationTime(exchange.key);
 }
 
 auto addExchange(Blackboard &board, const CallerArrived &arrived, const Row &row,
@@ -220,7 +220,7 @@
     if (row.idempotent) {
         return true;
     }
-    const auto birth = keyBirthOf(arrived.key);
+    const auto birth = keyCreationTime(arrived.key);
     return placementOfKey(board, row.service, arrived.key, birth).zone == board.init.self.zone;
 }
 
@@ -253,7 +253,7 @@
     exchange.upstream = arrived.upstream;
     exchange.bound = arrived.upstream.isValid();
     exchange.key = arrived.key;
-    exchange.keyBirth = keyBirthOf(arrived.key);
+    exchange.keyCreated = keyCreationTime(arrived.key);
     board.exchanges.add(std::move(exchange));
     board.toPlace.push_back(arrived.exchange);
 }
--- a/src/core/requests/dispatch.cpp
+++ b/src/core/requests/dispatch.cpp
@@ -86,7 +86,7 @@
 auto canMeetDeadline(const Blackboard &board, const Exchange &exchange, const RowQueue &row) -> bool
 {
     const auto remaining = exchange.deadline - board.now.mono;
-    const auto expected = row.serviceTime.likely(board.now.mono).value_or(Duration { 0 });
+    const auto expected = row.serviceTime.upperEstimate(board.now.mono).value_or(Duration { 0 });
     return remaining > expected + config::deadlineMargin;
 }
 
@@ -106,8 +106,8 @@
 /// empty queue has no such requests to make up for, so the count becomes 0.
 auto reduceTurnedAway(RowQueue &row) -> void
 {
-    const auto outstanding = row.waiting.empty() ? 0 : row.turnedAway;
-    row.turnedAway = outstanding > 0 ? outstanding - 1 : 0;
+    const auto outstanding = row.waiting.empty() ? 0 : row.refusedUnserved;
+    row.refusedUnserved = outstanding > 0 ? outstanding - 1 : 0;
 }
 
 auto send(Blackboard &board, Cell &cell, const Candidate &candidate,
@@ -126,13 +126,13 @@
     request.charged = chargeRow(*candidate.row);
     board.cells.start(request);
     reduceTurnedAway(*candidate.row);
-    countServed(cell, offers, *candidate.offer);
+    countDispatch(cell, offers, *candidate.offer);
     markRepeatsMaybeSent(board, exchange);
     exchange.upstream = upstream.id;
     exchange.stage = Stage::Dispatched;
     exchange.maybeSent = true;
     ++board.stats.dispatched;
-    board.act(dispatchOf(board, exchange, candidate.row->name, upstream));
+    board.addAction(dispatchOf(board, exchange, candidate.row->name, upstream));
 }
 
 } // namespace
@@ -149,7 +149,7 @@
     action.rowName = rowName;
     action.key = exchange.key;
     action.freshConnection = !exchange.idempotent;
-    action.keepAnswer = !exchange.idempotent && !exchange.ownKey;
+    action.keepAnswer = !exchange.idempotent && !exchange.hasGeneratedKey;
     action.remaining = exchange.deadline - board.now.mono;
     action.expires = board.now.wall + action.remaining;
     return action;
--- a/src/core/requests/exchangestore.cpp
+++ b/src/core/requests/exchangestore.cpp
@@ -49,7 +49,7 @@
     this->byPlacementTime.emplace(when, id);
 }
 
-auto ExchangeStore::takeToPlace(MonoTime now) -> std::vector<ExchangeId>
+auto ExchangeStore::takeDueForPlacement(MonoTime now) -> std::vector<ExchangeId>
 {
     std::vector<ExchangeId> due;
     while (!this->byPlacementTime.empty() && this->byPlacementTime.begin()->first <= now) {
--- a/src/core/requests/exchangestore.h
+++ b/src/core/requests/exchangestore.h
@@ -37,7 +37,7 @@
 
     /// Removes the exchanges due for placement at `now` from the queue and returns them. Some may
     /// have been erased from the store.
-    [[nodiscard]] auto takeToPlace(MonoTime now) -> std::vector<ExchangeId>;
+    [[nodiscard]] auto takeDueForPlacement(MonoTime now) -> std::vector<ExchangeId>;
 
     [[nodiscard]] auto size() const -> std::size_t { return this->byId.size(); }
     [[nodiscard]] auto all() const -> const std::unordered_map<ExchangeId, Exchange> &
--- a/src/core/requests/outcomecontroller.cpp
+++ b/src/core/requests/outcomecontroller.cpp
@@ -25,14 +25,14 @@
 auto markNotRun(Exchange &exchange) -> void
 {
     exchange.maybeSent = false;
-    exchange.avoid = exchange.cell;
+    exchange.avoidCell = exchange.cell;
 }
 
 /// Returns whether the placement may choose another cell: the request came from a caller, and no
 /// key of the caller's fixes its cell.
 auto mayChangeCell(const Exchange &exchange) -> bool
 {
-    return exchange.origin == Origin::Caller && (exchange.idempotent || exchange.ownKey);
+    return exchange.origin == Origin::Caller && (exchange.idempotent || exchange.hasGeneratedKey);
 }
 
 /// Returns whether the home of the exchange's cell is still the host to which it was last relayed.
@@ -116,8 +116,8 @@
     if (!exchange.idempotent) {
         return refuse(board, exchange, lostRefusal);
     }
-    exchange.sentBefore = true;
-    exchange.avoid = exchange.cell;
+    exchange.earlierAttemptMaybeSent = true;
+    exchange.avoidCell = exchange.cell;
     spendRetryOrRefuse(board, exchange, lostRefusal);
 }
 
@@ -155,7 +155,8 @@
 {
     // No other host can know a key generated here, so a home that cannot tell whether the request
     // ran has not run it.
-    const auto isGeneratedKeyUnknown = exchange.ownKey && head.reason == RefusalReason::KeyUnknown
+    const auto isGeneratedKeyUnknown = exchange.hasGeneratedKey
+                                       && head.reason == RefusalReason::KeyUnknown
                                        && head.verdict == Verdict::Unknown;
     if (head.verdict == Verdict::NotRun || isGeneratedKeyUnknown) {
         markNotRun(exchange);
@@ -203,13 +204,13 @@
     if (exchange.stage == Stage::Relayed && head.refusal) {
         return onHomeRefusal(board, exchange, head);
     }
-    if (exchange.stage == Stage::Dispatched && saysTooLate(head)) {
+    if (exchange.stage == Stage::Dispatched && isDeadlineResponse(head)) {
         return refuse(board, exchange, RefusalReason::DeadlineUnmet, config::retryAfterMin);
     }
-    if (exchange.stage == Stage::Dispatched && saysUnrun(head)) {
+    if (exchange.stage == Stage::Dispatched && isNotRunResponse(head)) {
         return onNotRun(board, exchange, head);
     }
-    board.act(PassAnswer { exchange.id, tokenFor(board, exchange) });
+    board.addAction(PassAnswer { exchange.id, tokenFor(board, exchange) });
     exchange.stage = Stage::Answering;
 }
 
@@ -231,7 +232,7 @@
     ++board.stats.cut;
     board.log(LogEvent::AnswerLost, "why=\"answer truncated\"");
     if (!exchange.callerGone) {
-        board.act(AbortAnswer { exchange.id });
+        board.addAction(AbortAnswer { exchange.id });
     }
     forget(board, exchange.id);
 }
@@ -268,14 +269,14 @@
     const auto atUpstream =
             exchange->stage == Stage::Dispatched
             || (exchange->stage == Stage::Answering && exchange->home == board.init.self.id);
-    const auto hasCallerKey = !exchange->idempotent && !exchange->ownKey;
+    const auto hasCallerKey = !exchange->idempotent && !exchange->hasGeneratedKey;
     if (hasCallerKey && atUpstream) {
         exchange->callerGone = true;
         return;
     }
     ++board.stats.cancelled;
     if (isSent(*exchange)) {
-        board.act(Cancel { id });
+        board.addAction(Cancel { id });
     }
     forget(board, id);
 }
@@ -286,12 +287,12 @@
 {
     ++board.stats.cancelled;
     if (exchange.callerGone) {
-        board.act(Cancel { exchange.id });
+        board.addAction(Cancel { exchange.id });
         return forget(board, exchange.id);
     }
     if (exchange.stage == Stage::Answering) {
         ++board.stats.cut;
-        board.act(AbortAnswer { exchange.id });
+        board.addAction(AbortAnswer { exchange.id });
         return forget(board, exchange.id);
     }
     refuse(board, exchange, RefusalReason::DeadlineUnmet, config::retryAfterMin);
--- a/src/core/requests/refuse.cpp
+++ b/src/core/requests/refuse.cpp
@@ -27,7 +27,7 @@
     ++board.stats.refused.at(static_cast<std::size_t>(refusal.reason));
     board.log(logEventOf(refusal.reason),
               std::string(toString(refusal.reason)) + ' ' + std::string(toString(refusal.verdict)));
-    board.act(Refuse { exchange, refusal });
+    board.addAction(Refuse { exchange, refusal });
 }
 
 } // namespace
@@ -36,7 +36,7 @@
 {
     const auto waitsForSameKey =
             exchange.stage == Stage::Attached || exchange.stage == Stage::Looking;
-    const auto maybeSent = exchange.maybeSent || exchange.sentBefore;
+    const auto maybeSent = exchange.maybeSent || exchange.earlierAttemptMaybeSent;
     return maybeSent || waitsForSameKey ? Verdict::Unknown : Verdict::NotRun;
 }
 
--- a/src/core/requests/runningrequest.h
+++ b/src/core/requests/runningrequest.h
@@ -22,7 +22,7 @@
     bool answered = false;  ///< The complete answer was received.
     bool notSent = false;   ///< No byte of it was sent.
     bool failed = false;    ///< It was already counted as a failure of its upstream.
-    bool unrun = false;     ///< Its upstream reported that it did not run it.
+    bool notRun = false;    ///< Its upstream reported that it did not run it.
 };
 
 } // namespace flamingograde
--- a/src/core/stop/stopcontroller.cpp
+++ b/src/core/stop/stopcontroller.cpp
@@ -23,9 +23,9 @@
 
 auto closeListeners(Blackboard &board) -> void
 {
-    board.stop.closed = true;
+    board.stop.listenersClosed = true;
     for (const auto &row : board.table().rows()) {
-        board.act(Unlisten { row.address });
+        board.addAction(Unlisten { row.address });
     }
 }
 
@@ -51,16 +51,16 @@
 }
 
 /// Returns whether the fabric may still send packets to this host: its health checks have not
-/// failed for `config::fabricNotice` yet, or a packet arrived within `config::fabricQuiet`. Always
-/// false if this host steers no packets.
+/// failed for `config::fabricCheckTime` yet, or a packet arrived within `config::fabricIdleTime`.
+/// Always false if this host steers no packets.
 auto mayReceivePackets(const Blackboard &board) -> bool
 {
     if (board.packets.flows.capacity() == 0) {
         return false;
     }
     const auto now = board.now.mono;
-    return now - board.stop.since < config::fabricNotice
-           || now - board.packets.lastPacket < config::fabricQuiet;
+    return now - board.stop.since < config::fabricCheckTime
+           || now - board.packets.lastPacket < config::fabricIdleTime;
 }
 
 /// Returns a list of the unfinished work for the log; empty if all is finished.
@@ -100,7 +100,7 @@
 {
     board.stop.ready = true;
     board.log(LogEvent::Stopped, "left=\"" + left + "\"");
-    board.act(StopReady { left });
+    board.addAction(StopReady { left });
 }
 
 } // namespace
@@ -114,12 +114,12 @@
         return;
     }
     const auto elapsed = board.now.mono - board.stop.since;
-    if (!board.stop.closed && elapsed >= config::leaveNotice) {
+    if (!board.stop.listenersClosed && elapsed >= config::stopNoticeTime) {
         this->listenersClosedAt = board.now.mono;
         closeListeners(board);
     }
     const auto left = describeUnfinished(board);
-    if (board.stop.closed && left.empty()
+    if (board.stop.listenersClosed && left.empty()
         && board.now.mono - this->listenersClosedAt >= config::closeGrace) {
         return finishStop(board, left);
     }
--- a/src/core/stop/stopcontroller.h
+++ b/src/core/stop/stopcontroller.h
@@ -7,7 +7,7 @@
 
 class Blackboard;
 
-/// Closes the listeners `config::leaveNotice` after the stop was requested, then waits until all
+/// Closes the listeners `config::stopNoticeTime` after the stop was requested, then waits until all
 /// work is finished. After the stop timeout it refuses the remaining requests and reports what was
 /// unfinished.
 /// @remarks Not thread safe. The membership controller announces the stop, the feed controller
--- a/src/core/upstreams/upstreamcontroller.cpp
+++ b/src/core/upstreams/upstreamcontroller.cpp
@@ -102,13 +102,13 @@
 /// Evaluates the head of a request's answer.
 auto noteHead(Blackboard &board, RunningRequest &request, const AnswerHead &head) -> void
 {
-    request.unrun = saysUnrun(head);
+    request.notRun = isNotRunResponse(head);
     if (head.shed) {
         noteShed(board, request.upstream, head.retryAfter);
         return;
     }
-    const auto isFault = head.status >= serverErrorMin && !saysTooLate(head);
-    if (request.unrun || isFault) {
+    const auto isFault = head.status >= serverErrorMin && !isDeadlineResponse(head);
+    if (request.notRun || isFault) {
         request.failed = true;
         noteFailure(board, request.upstream);
     }
@@ -125,7 +125,7 @@
         return;
     case Progress::Answered:
         request.answered = true;
-        if (!request.failed && !request.unrun) {
+        if (!request.failed && !request.notRun) {
             noteSuccess(board, request.upstream);
         }
         return;
@@ -187,7 +187,8 @@
             auto &health = board.upstreams.health(upstream.id);
             if (health.nextProbe <= board.now.mono) {
                 health.nextProbe = board.now.mono + config::upstreamProbePeriod;
-                board.act(ProbeUpstream { upstream.id, upstream.address, upstream.serviceName });
+                board.addAction(
+                        ProbeUpstream { upstream.id, upstream.address, upstream.serviceName });
             }
         }
     }
@@ -283,14 +284,14 @@
     health.load = report.load;
     health.saysDraining = report.reachable && report.draining;
     if (report.reachable && (report.healthy || report.draining)) {
-        health.doubtedSince.reset();
+        health.failingProbesSince.reset();
         return;
     }
     const auto succeededRecently =
             health.lastSuccess.has_value()
             && board.now.mono - *health.lastSuccess < 2 * config::upstreamProbePeriod;
-    if (!health.doubtedSince.has_value() && !succeededRecently) {
-        health.doubtedSince = board.now.mono;
+    if (!health.failingProbesSince.has_value() && !succeededRecently) {
+        health.failingProbesSince = board.now.mono;
     }
 }
 
--- a/src/core/upstreams/upstreamhealth.h
+++ b/src/core/upstreams/upstreamhealth.h
@@ -20,13 +20,13 @@
     std::uint32_t ejections = 0;                 ///< Consecutive ejections; each doubles the time.
     bool ejected = false;                        ///< Out of rotation until `ejectedUntil`.
     MonoTime ejectedUntil;
-    std::optional<MonoTime> rampSince;    ///< Since when it is cold; empty if warm.
-    MonoTime pausedUntil;                 ///< End of the pause that it requested by shedding.
-    std::optional<double> slotLimit;      ///< Reduced slots after shedding; empty: all.
-    std::optional<MonoTime> lastSuccess;  ///< Last success of traffic.
-    std::optional<MonoTime> doubtedSince; ///< Since when its probes report a problem.
-    bool saysDraining = false;            ///< Its health endpoint reports draining.
-    double load = -1;                     ///< Reported by its load endpoint; negative: none.
+    std::optional<MonoTime> rampSince;          ///< Since when it is cold; empty if warm.
+    MonoTime pausedUntil;                       ///< End of the pause that it requested by shedding.
+    std::optional<double> slotLimit;            ///< Reduced slots after shedding; empty: all.
+    std::optional<MonoTime> lastSuccess;        ///< Last success of traffic.
+    std::optional<MonoTime> failingProbesSince; ///< Since when its probes report a problem.
+    bool saysDraining = false;                  ///< Its health endpoint reports draining.
+    double load = -1;                           ///< Reported by its load endpoint; negative: none.
     MonoTime nextProbe;
     bool drainLogged = false; ///< `UpstreamDrained` has been logged.
 };
--- a/src/core/upstreams/upstreamstore.cpp
+++ b/src/core/upstreams/upstreamstore.cpp
@@ -25,8 +25,8 @@
 /// Returns whether probes report a problem and no traffic has succeeded since they started to.
 auto hasFailingProbes(const UpstreamHealth &health) -> bool
 {
-    return health.doubtedSince.has_value()
-           && (!health.lastSuccess.has_value() || *health.lastSuccess < *health.doubtedSince);
+    return health.failingProbesSince.has_value()
+           && (!health.lastSuccess.has_value() || *health.lastSuccess < *health.failingProbesSince);
 }
 
 } // namespace
@@ -43,7 +43,7 @@
     return health == nullptr || !health->ejected || health->ejectedUntil <= now;
 }
 
-auto UpstreamStore::opensAt(UpstreamId upstream) const -> MonoTime
+auto UpstreamStore::availableAt(UpstreamId upstream) const -> MonoTime
 {
     const auto *health = this->find(upstream);
     if (health == nullptr) {
--- a/src/core/upstreams/upstreamstore.h
+++ b/src/core/upstreams/upstreamstore.h
@@ -27,7 +27,7 @@
             -> std::uint32_t;
 
     /// Returns when `upstream` accepts requests again; a time in the past if it does now.
-    [[nodiscard]] auto opensAt(UpstreamId upstream) const -> MonoTime;
+    [[nodiscard]] auto availableAt(UpstreamId upstream) const -> MonoTime;
 
     /// Returns whether `upstream` was ejected, has not fully recovered since, and its probes
     /// report a problem.
--- a/src/emulator/dayfile.cpp
+++ b/src/emulator/dayfile.cpp
@@ -44,11 +44,11 @@
 class DayParser
 {
 public:
-    DayParser(const TomlText &read, FindingList &list) : text(read), findings(list) {}
+    DayParser(const ParsedToml &read, FindingList &list) : text(read), findings(list) {}
 
     auto take() -> DayPlan
     {
-        refuseUnknownSections(this->text, sections, "a day has", true, this->findings);
+        reportUnknownSections(this->text, sections, "a day has", true, this->findings);
         const auto each = [this](std::string_view section, void (DayParser::*read)(FieldReader &)) {
             forEachEntry(this->text, section, this->findings,
                          [this, read](FieldReader &fields) { (this->*read)(fields); });
@@ -75,7 +75,7 @@
     auto readShare(FieldReader &fields) -> void;
     auto readTrouble(FieldReader &fields) -> void;
 
-    const TomlText &text;
+    const ParsedToml &text;
     FindingList &findings;
     toml::table none;
     DayPlan plan;
@@ -99,15 +99,15 @@
 auto DayParser::readDay() -> void
 {
     FieldReader fields(this->section("day"), "day", false, this->findings);
-    fields.refuseUnknown(dayFields);
+    fields.reportUnknownFields(dayFields);
     auto &day = this->plan;
     day.name = fields.name("name");
     day.seed = fields.number("seed", { 0, seedMax, day.seed });
     day.lead = time(fields, "lead_ms", day.lead);
     day.length = time(fields, "length_ms", day.length);
     day.drainBound = time(fields, "drain_bound_ms", day.drainBound);
-    day.policy = static_cast<PacketPolicy>(fields.word("policy", policyNames, 0));
-    day.coldPolicy = static_cast<ColdPolicy>(fields.word("cold_policy", coldPolicyNames, 0));
+    day.policy = static_cast<PacketPolicy>(fields.enumValue("policy", policyNames, 0));
+    day.coldPolicy = static_cast<ColdPolicy>(fields.enumValue("cold_policy", coldPolicyNames, 0));
     const auto lost = fields.number("loss_percent", { 0, 100, 0 });
     day.packetLoss = static_cast<double>(lost) / percent;
 }
@@ -115,7 +115,7 @@
 auto DayParser::readHost() -> void
 {
     FieldReader fields(this->section("host"), "host", false, this->findings);
-    fields.refuseUnknown(hostFields);
+    fields.reportUnknownFields(hostFields);
     auto &host = this->plan.hosts;
     host.start = time(fields, "start_ms", host.start);
     host.restart = time(fields, "restart_ms", host.restart);
@@ -129,7 +129,7 @@
 auto DayParser::readZone(FieldReader &fields) -> void
 {
     ZonePlan zone;
-    fields.refuseUnknown(zoneFields);
+    fields.reportUnknownFields(zoneFields);
     zone.name = fields.name("name");
     zone.hosts = fields.number("hosts", { 0, countMax, zone.hosts });
     zone.requestsPerSecond =
@@ -139,7 +139,7 @@
 
 auto DayParser::readUpstreams(FieldReader &fields) -> void
 {
-    fields.refuseUnknown(upstreamFields);
+    fields.reportUnknownFields(upstreamFields);
     const auto name = fields.name("service");
     const auto zone = fields.name("zone");
     auto &services = this->plan.services;
@@ -161,7 +161,7 @@
 auto DayParser::readRow(FieldReader &fields) -> void
 {
     RowPlan row;
-    fields.refuseUnknown(rowFields);
+    fields.reportUnknownFields(rowFields);
     row.load.name = fields.name("name");
     row.load.address = fields.address("address");
     row.shares.emplace_back(fields.name("service"), 1);
@@ -193,14 +193,14 @@
 
 auto DayParser::readShare(FieldReader &fields) -> void
 {
-    fields.refuseUnknown(shareFields);
+    fields.reportUnknownFields(shareFields);
     const auto row = fields.name("row");
     const auto service = fields.name("service");
     const auto weight = fields.number("weight", { 0, config::weightMax, 1 });
     const auto found = std::find_if(this->plan.rows.begin(), this->plan.rows.end(),
                                     [&](const RowPlan &it) { return it.load.name == row; });
     if (found == this->plan.rows.end()) {
-        fields.fault("row", "names no known row", "give the name of a [[row]] defined above");
+        fields.addFinding("row", "names no known row", "give the name of a [[row]] defined above");
         return;
     }
     found->shares.emplace_back(service, static_cast<std::uint32_t>(weight));
@@ -209,10 +209,11 @@
 auto DayParser::readTrouble(FieldReader &fields) -> void
 {
     TroublePlan trouble;
-    fields.refuseUnknown(troubleFields);
+    fields.reportUnknownFields(troubleFields);
     trouble.kind = fields.name("kind");
     if (!trouble.kind.empty() && !isTroubleKind(trouble.kind)) {
-        fields.fault("kind", "is no known kind of trouble", "see docs/EMULATOR.md for the kinds");
+        fields.addFinding("kind", "is no known kind of trouble",
+                          "see docs/EMULATOR.md for the kinds");
     }
     trouble.at = time(fields, "at_ms", trouble.at);
     trouble.duration = time(fields, "for_ms", trouble.duration);
@@ -235,7 +236,7 @@
 auto parseDay(std::string_view text, std::string_view file) -> tl::expected<DayPlan, Findings>
 {
     FindingList findings(file);
-    const auto read = readToml(text, findings);
+    const auto read = parseTomlWithErrors(text, findings);
     auto plan = DayParser(read, findings).take();
     if (!findings.isEmpty()) {
         return tl::unexpected(findings.takeSorted());
--- a/src/emulator/emulatedcaller.cpp
+++ b/src/emulator/emulatedcaller.cpp
@@ -53,7 +53,7 @@
 
 auto EmulatedCaller::startAttempt() -> void
 {
-    ++this->result.tries;
+    ++this->result.attempts;
     this->request = this->callbacks.nextRequest();
     if (this->isOpenTo(this->result.kind->address) && !this->flow.closesAfterAnswer) {
         this->sendRequest();
@@ -103,7 +103,7 @@
     sent.head.cookie = Cookie();
     sent.head.sequence = this->flow.first;
     sent.head.acknowledged = 0;
-    sent.head.copy = copy;
+    sent.head.retransmissions = copy;
     sent.head.flags = PacketFlags();
     sent.head.flags.opens = true;
     this->callbacks.toFabric(sent);
@@ -238,7 +238,7 @@
     if (!this->active) {
         return;
     }
-    if (!isRetryable || this->result.tries > this->result.kind->retries) {
+    if (!isRetryable || this->result.attempts > this->result.kind->retries) {
         this->finish(end);
         return;
     }
--- a/src/emulator/emulatedcaller.h
+++ b/src/emulator/emulatedcaller.h
@@ -30,7 +30,7 @@
     RequestEnd end = RequestEnd::Failed;
     MonoTime began;
     Duration took { 0 };
-    std::uint32_t tries = 0;
+    std::uint32_t attempts = 0;
 };
 
 /// Callbacks for a caller's packets, results and number allocation.
--- a/src/emulator/emulatedhost.cpp
+++ b/src/emulator/emulatedhost.cpp
@@ -25,13 +25,13 @@
 } // namespace
 
 EmulatedHost::EmulatedHost(VirtualClock &virtualClock, PeerMesh &peers, EmulatedStore &platform,
-                           Init settings, HostTimes hostTimes, HostSurroundings handlers)
+                           Init settings, HostTimes hostTimes, HostCallbacks handlers)
     : clock(virtualClock), mesh(peers), store(platform), init(std::move(settings)),
       times(hostTimes),
       callbacks(std::move(handlers)), self { this->init.self.name, this->init.self.zoneName }
 {
     this->mesh.set(this->id(), { this->init.self, this->self, false, true,
-                                 [this](Event event) { this->give(std::move(event)); } });
+                                 [this](Event event) { this->handleEvent(std::move(event)); } });
 }
 
 auto EmulatedHost::clockNow() const -> Now
@@ -74,7 +74,7 @@
         return;
     }
     if (this->state == HostLife::Running) {
-        this->give(Tick {});
+        this->handleEvent(Tick {});
         this->steerHeldPackets();
     }
     this->clock.later(config::tickPeriod, [this, generation] { this->tick(generation); });
@@ -112,7 +112,7 @@
 auto EmulatedHost::stop(bool restartAfterwards) -> void
 {
     this->restartsAfterStop = restartAfterwards;
-    this->give(StopRequested {});
+    this->handleEvent(StopRequested {});
 }
 
 auto EmulatedHost::freeze() -> void
@@ -129,7 +129,7 @@
     this->state = HostLife::Running;
     this->mesh.at(this->id()).isUnresponsive = false;
     for (auto &event : std::exchange(this->heldEvents, {})) {
-        this->give(std::move(event));
+        this->handleEvent(std::move(event));
     }
     this->steerHeldPackets();
 }
@@ -155,7 +155,7 @@
     return this->state == HostLife::Running && this->library->isServing();
 }
 
-auto EmulatedHost::give(Event event) -> void
+auto EmulatedHost::handleEvent(Event event) -> void
 {
     if (this->state == HostLife::Frozen) {
         this->heldEvents.push_back(std::move(event));
@@ -207,7 +207,7 @@
                         const auto number = ++this->reads;
                         this->store.read(this->self, it, [this, generation, number](Event event) {
                             if (generation == this->currentGeneration && number == this->reads) {
-                                this->give(std::move(event));
+                                this->handleEvent(std::move(event));
                             }
                         });
                     },
--- a/src/emulator/emulatedhost.h
+++ b/src/emulator/emulatedhost.h
@@ -39,7 +39,7 @@
 };
 
 /// Callbacks for a host's packets and logs.
-struct HostSurroundings
+struct HostCallbacks
 {
     std::function<void(const PacketTarget &, const FlowPacket &)> toUpstream;
     std::function<void(const FlowPacket &, PacketReason)> toCaller; ///< Sends a host's own reset.
@@ -52,7 +52,7 @@
 {
 public:
     EmulatedHost(VirtualClock &virtualClock, PeerMesh &peers, EmulatedStore &platform,
-                 Init settings, HostTimes hostTimes, HostSurroundings handlers);
+                 Init settings, HostTimes hostTimes, HostCallbacks handlers);
 
     /// Starts the process. Precondition: the process is off.
     auto start() -> void;
@@ -73,7 +73,7 @@
     auto take(const FlowPacket &packet) -> void;
     /// Passes an event to the library; queued while frozen, dropped while off or starting.
     /// Precondition: none.
-    auto give(Event event) -> void;
+    auto handleEvent(Event event) -> void;
 
     /// Returns whether the fabric's health check succeeds; false if the host does not answer.
     [[nodiscard]] auto passesHealthCheck() const -> bool;
@@ -107,7 +107,7 @@
     EmulatedStore &store;
     Init init;
     HostTimes times;
-    HostSurroundings callbacks;
+    HostCallbacks callbacks;
     Place self;
     std::unique_ptr<Balancer> library;
     HostLife state = HostLife::Off;
--- a/src/emulator/emulatedstore.cpp
+++ b/src/emulator/emulatedstore.cpp
@@ -18,7 +18,7 @@
 auto isSame(const Upstream &a, const Upstream &b) -> bool
 {
     return a.state == b.state && a.warmup == b.warmup && a.address == b.address
-           && a.slots == b.slots && a.service == b.service && a.born == b.born;
+           && a.slots == b.slots && a.service == b.service && a.startedAt == b.startedAt;
 }
 
 } // namespace
@@ -42,8 +42,8 @@
     if (fault != LinkFault::None) {
         return fault == LinkFault::Refuse ? StoreMode::Refuses : StoreMode::Silent;
     }
-    const auto found = this->turnedAway.find(from.name);
-    return found != this->turnedAway.end() && this->mode == StoreMode::Answers ? found->second
+    const auto found = this->modeByHost.find(from.name);
+    return found != this->modeByHost.end() && this->mode == StoreMode::Answers ? found->second
                                                                                : this->mode;
 }
 
@@ -134,9 +134,9 @@
 
 auto EmulatedStore::consumeReadAllowance(const ReadDirectory &asked) -> bool
 {
-    const auto cost = asked.mayBeLate ? lateReadCost : 1.0;
+    const auto cost = asked.mayBeStale ? lateReadCost : 1.0;
     this->calls += cost;
-    if (asked.mayBeLate) {
+    if (asked.mayBeStale) {
         return true;
     }
     const std::chrono::duration<double> passed =
@@ -185,7 +185,7 @@
             return;
         }
         if (!asked.after.isValid()) {
-            this->reply(from, answer, DirectoryRead { this->fullUpdate(), asked.mayBeLate });
+            this->reply(from, answer, DirectoryRead { this->fullUpdate(), asked.mayBeStale });
             return;
         }
         this->watch(from, asked, answer);
--- a/src/emulator/emulatedstore.h
+++ b/src/emulator/emulatedstore.h
@@ -75,7 +75,7 @@
 
     StoreMode mode = StoreMode::Answers;
     /// Overrides `mode` for single hosts, by name, while the store is up.
-    std::map<std::string, StoreMode> turnedAway;
+    std::map<std::string, StoreMode> modeByHost;
     bool leasesExpireDuringOutage = false; ///< Leases also expire while the store is down.
     double answerLossShare = 0;            ///< Share of answers that are lost.
     Duration answerDelay { 4000 };
--- a/src/emulator/emulatedupstream.cpp
+++ b/src/emulator/emulatedupstream.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 EmulatedUpstream::EmulatedUpstream(VirtualClock &virtualClock, Upstream registration,
-                                   UpstreamSurroundings handlers, std::uint64_t seed)
+                                   UpstreamCallbacks handlers, std::uint64_t seed)
     : clock(virtualClock), self(std::move(registration)), callbacks(std::move(handlers)),
       random(seed)
 {}
--- a/src/emulator/emulatedupstream.h
+++ b/src/emulator/emulatedupstream.h
@@ -27,7 +27,7 @@
 };
 
 /// Callbacks for an upstream's packets and request runs.
-struct UpstreamSurroundings
+struct UpstreamCallbacks
 {
     std::function<void(const FlowPacket &)> toCaller;  ///< Sends a packet to a caller.
     std::function<void(std::uint64_t request)> onRun;  ///< A request starts to run.
@@ -40,8 +40,8 @@
 {
 public:
     /// @param registration the record it registers with. Precondition: its instance is valid.
-    EmulatedUpstream(VirtualClock &virtualClock, Upstream registration,
-                     UpstreamSurroundings handlers, std::uint64_t seed);
+    EmulatedUpstream(VirtualClock &virtualClock, Upstream registration, UpstreamCallbacks handlers,
+                     std::uint64_t seed);
 
     /// Handles a packet that reached the upstream's address.
     /// @param targetInstance the instance that the packet is meant for; invalid for any. Packets
@@ -114,7 +114,7 @@
 
     VirtualClock &clock;
     Upstream self;
-    UpstreamSurroundings callbacks;
+    UpstreamCallbacks callbacks;
     std::mt19937_64 random;
     UpstreamLife state = UpstreamLife::Running;
     bool draining = false;
--- a/src/emulator/emulation.cpp
+++ b/src/emulator/emulation.cpp
@@ -58,7 +58,7 @@
 auto Emulation::addHost(const std::string &zone) -> std::size_t
 {
     const auto number = this->hosts.size();
-    HostSurroundings handlers;
+    HostCallbacks handlers;
     handlers.toUpstream = [this, number](const PacketTarget &target, const FlowPacket &packet) {
         this->toUpstream(*this->hosts[number], target, packet);
     };
@@ -181,9 +181,9 @@
     return index;
 }
 
-auto Emulation::makeUpstreamCallbacks(std::size_t index) -> UpstreamSurroundings
+auto Emulation::makeUpstreamCallbacks(std::size_t index) -> UpstreamCallbacks
 {
-    UpstreamSurroundings handlers;
+    UpstreamCallbacks handlers;
     handlers.toCaller = [this](const FlowPacket &packet) { this->toCaller(packet, std::nullopt); };
     handlers.onRun = [this](std::uint64_t request) { this->judge.noteRun(request, false); };
     handlers.onOpening = [this, index](const FlowPacket &packet) {
@@ -340,7 +340,7 @@
         auto &entry = *this->upstreamEntries[index];
         const auto coldTime = this->servicePlanOf(entry.record.serviceName).coldTime;
         entry.process->restart(this->time.now() + coldTime);
-        entry.record.born = WallTime(this->time.now().time_since_epoch());
+        entry.record.startedAt = WallTime(this->time.now().time_since_epoch());
         entry.disturbedAt = this->time.now();
         entry.sendsHeartbeats = true;
         if (!entry.isHeartbeatScheduled) {
@@ -372,7 +372,7 @@
 {
     this->platform.expire();
     this->accumulateColdTime();
-    this->mesh.review();
+    this->mesh.closeCutConnections();
     for (const auto &host : this->hosts) {
         if (host->life() != HostLife::Running || !this->platform.isStableFor(host->place())) {
             host->disturbedAt = this->time.now();
--- a/src/emulator/emulation.h
+++ b/src/emulator/emulation.h
@@ -112,7 +112,7 @@
 
 private:
     auto settingsOf(const std::string &zone, std::size_t number) -> Init;
-    auto makeUpstreamCallbacks(std::size_t index) -> UpstreamSurroundings;
+    auto makeUpstreamCallbacks(std::size_t index) -> UpstreamCallbacks;
     auto sendHeartbeat(std::size_t index) -> void;
     auto checkOpening(const UpstreamEntry &entry) -> void;
     auto checkEvacuatedOpening(const UpstreamEntry &entry) -> void;
--- a/src/emulator/peermesh.cpp
+++ b/src/emulator/peermesh.cpp
@@ -144,7 +144,7 @@
     }
 }
 
-auto PeerMesh::review() -> void
+auto PeerMesh::closeCutConnections() -> void
 {
     std::vector<std::pair<Pair, PeerLoss>> ended;
     for (auto &[pair, connection] : this->connections) {
--- a/src/emulator/peermesh.h
+++ b/src/emulator/peermesh.h
@@ -58,7 +58,7 @@
     auto end(HostId host, PeerLoss loss) -> void;
     /// Closes connections over cut links once hosts would detect it. Precondition: called
     /// periodically.
-    auto review() -> void;
+    auto closeCutConnections() -> void;
 
     std::map<HostId, std::uint64_t> bytesSent;
     std::uint64_t bytesBetweenZones = 0;
--- a/src/emulator/troubles.cpp
+++ b/src/emulator/troubles.cpp
@@ -233,9 +233,9 @@
 {
     for (const auto index : pickHosts(emulation, trouble)) {
         const auto name = emulation.host(index).name();
-        emulation.store().turnedAway[name] = modeOf(trouble);
+        emulation.store().modeByHost[name] = modeOf(trouble);
         emulation.clock().later(trouble.duration,
-                                [&emulation, name] { emulation.store().turnedAway.erase(name); });
+                                [&emulation, name] { emulation.store().modeByHost.erase(name); });
     }
 }
 
--- a/src/net/exchangetransport.cpp
+++ b/src/net/exchangetransport.cpp
@@ -33,7 +33,7 @@
                 [this](ExchangeId id) {
                     this->context.loop.defer([this, id] { this->exchanges.erase(id); });
                 } },
-      leaveWatch(loop, [this](ExchangeId id) {
+      disconnectWatch(loop, [this](ExchangeId id) {
           const auto found = this->exchanges.find(id);
           if (found != this->exchanges.end()) {
               found->second->callerLeft();
@@ -55,12 +55,12 @@
             std::make_unique<HttpExchange>(this->context, id, readRequest(*request), request);
     const auto descriptor = exchange->callerDescriptor();
     if (descriptor >= 0) {
-        this->leaveWatch.watch(descriptor, id);
+        this->disconnectWatch.watch(descriptor, id);
     }
     return *this->exchanges.emplace(id, std::move(exchange)).first->second;
 }
 
-auto ExchangeTransport::takeCaller(st_h2o_req_t *request, Address address) -> void
+auto ExchangeTransport::acceptCaller(st_h2o_req_t *request, Address address) -> void
 {
     auto event = readCaller(*request, address);
     this->add(request);
@@ -68,7 +68,7 @@
     this->context.post(std::move(event));
 }
 
-auto ExchangeTransport::takeRelay(st_h2o_req_t *request) -> void
+auto ExchangeTransport::acceptRelay(st_h2o_req_t *request) -> void
 {
     auto event = readRelay(*request);
     if (!event) {
--- a/src/net/exchangetransport.h
+++ b/src/net/exchangetransport.h
@@ -39,11 +39,11 @@
 
     /// Accepts a caller's request that arrived at the row's `address`.
     /// Precondition: no part of the response to `request` has been sent.
-    auto takeCaller(st_h2o_req_t *request, Address address) -> void;
+    auto acceptCaller(st_h2o_req_t *request, Address address) -> void;
 
     /// Accepts a request relayed by another host; answers 400 if relay headers are missing.
     /// Precondition: no part of the response to `request` has been sent.
-    auto takeRelay(st_h2o_req_t *request) -> void;
+    auto acceptRelay(st_h2o_req_t *request) -> void;
 
     /// Carries out an action on an exchange. If the exchange no longer exists, only reports an
     /// action that would have sent a request as not sent.
@@ -59,7 +59,7 @@
     auto nextId() -> ExchangeId;
 
     ExchangeContext context;
-    LeaveWatch leaveWatch;
+    DisconnectWatch disconnectWatch;
     std::unordered_map<ExchangeId, std::unique_ptr<HttpExchange>> exchanges;
     std::uint64_t lastNumber = 0;
 };
--- a/src/net/hostlog.cpp
+++ b/src/net/hostlog.cpp
@@ -37,8 +37,8 @@
 struct LogState
 {
     LineBuffer lines { STDOUT_FILENO, bufferedBytesMax };
-    LineAllowance all { linesPerSecond, lineBurst };
-    LineAllowance packets { packetLinesPerSecond, packetLineBurst };
+    LogRateLimiter all { linesPerSecond, lineBurst };
+    LogRateLimiter packets { packetLinesPerSecond, packetLineBurst };
     MonoTime lastDropReport;
 };
 
@@ -142,7 +142,7 @@
     logger().log(level, "event={} name={}{}{}", number(event), toString(event), separator, text);
 }
 
-auto maySayPacket(MonoTime now) -> bool
+auto mayLogPacket(MonoTime now) -> bool
 {
     return state().packets.take(now);
 }
--- a/src/net/hostlog.h
+++ b/src/net/hostlog.h
@@ -23,7 +23,7 @@
 /// Returns whether a line about a packet may be logged now, and counts it against their rate limit.
 /// Such lines have a separate limit because their number grows with the load.
 /// Precondition: the log is open.
-[[nodiscard]] auto maySayPacket(MonoTime now) -> bool;
+[[nodiscard]] auto mayLogPacket(MonoTime now) -> bool;
 
 /// Writes buffered lines to standard output without blocking, and logs how many lines were dropped.
 /// Precondition: the log is open; called in each iteration of the event loop.
--- a/src/net/httpcall.cpp
+++ b/src/net/httpcall.cpp
@@ -93,7 +93,7 @@
     if (noBody) {
         call->closeIfFresh();
         call->raw = nullptr;
-        call->end(CallEnd::Whole);
+        call->end(CallEnd::Complete);
         return nullptr;
     }
     return &ClientCallbacks::onBody;
@@ -120,7 +120,7 @@
     this->deadline =
             this->client.eventLoop().after(this->request.timeout, [this] { this->timeOut(); });
     this->checkSilence();
-    auto *pool = this->request.fresh ? nullptr : this->client.poolOf(this->request.target);
+    auto *pool = this->request.newConnection ? nullptr : this->client.poolOf(this->request.target);
     if (pool == nullptr || isEmpty(pool)) {
         this->connect();
         return;
@@ -129,7 +129,7 @@
     this->sendOverPool(pool);
 }
 
-auto HttpCall::breakOff() -> void
+auto HttpCall::expire() -> void
 {
     this->deadline = this->client.eventLoop().after(Duration(0), [this] { this->timeOut(); });
 }
@@ -149,8 +149,8 @@
         this->end(CallEnd::NotSent, error);
         return;
     }
-    auto *pool = this->request.fresh ? this->client.poolForNewConnection()
-                                     : this->client.poolOf(this->request.target);
+    auto *pool = this->request.newConnection ? this->client.poolForNewConnection()
+                                             : this->client.poolOf(this->request.target);
     if (!addToPool(pool, socket)) {
         this->end(CallEnd::NotSent);
         return;
@@ -166,7 +166,7 @@
 
 auto HttpCall::isBeforeWriteDeadline() const -> bool
 {
-    return !this->request.notAfter || Loop::now().wall <= *this->request.notAfter;
+    return !this->request.writeDeadline || Loop::now().wall <= *this->request.writeDeadline;
 }
 
 auto HttpCall::handleHead(int status, st_h2o_header_t *headers, std::size_t count) -> void
@@ -213,13 +213,14 @@
         this->closeIfFresh();
     }
     this->raw = nullptr;
-    this->end(whole ? CallEnd::Whole : CallEnd::Cut);
+    this->end(whole ? CallEnd::Complete : CallEnd::Truncated);
 }
 
-/// Closes the connection of a call with `fresh` set, which h2o would otherwise keep in the pool.
+/// Closes the connection of a call with `newConnection` set, which h2o would otherwise keep in the
+/// pool.
 auto HttpCall::closeIfFresh() -> void
 {
-    if (this->request.fresh) {
+    if (this->request.newConnection) {
         h2o_socket_close(h2o_http1client_steal_socket(this->raw));
     }
 }
@@ -254,7 +255,7 @@
         this->end(CallEnd::Lost);
         return;
     case Stage::Reading:
-        this->end(CallEnd::Cut);
+        this->end(CallEnd::Truncated);
         return;
     case Stage::Ended:
         return;
--- a/src/net/httpcall.h
+++ b/src/net/httpcall.h
@@ -30,10 +30,10 @@
 
 /// Outcome of a call.
 enum class CallEnd : std::uint8_t {
-    NotSent, ///< No byte of the request left this process.
-    Lost,    ///< The request may have been sent, but no response head arrived.
-    Whole,   ///< The complete response arrived.
-    Cut,     ///< The response was truncated.
+    NotSent,   ///< No byte of the request left this process.
+    Lost,      ///< The request may have been sent, but no response head arrived.
+    Complete,  ///< The complete response arrived.
+    Truncated, ///< The response was truncated.
 };
 
 /// An outgoing request with its time limits.
@@ -43,8 +43,8 @@
     std::string head; ///< Request line and headers, including the final empty line.
     std::shared_ptr<const std::string> body; ///< May be null.
     bool isHead = false;                     ///< The method is HEAD: the response has no body.
-    bool fresh = false;                      ///< Use a new connection and close it after the call.
-    std::optional<WallTime> notAfter;        ///< Latest time at which the request may be written.
+    bool newConnection = false;              ///< Use a new connection and close it after the call.
+    std::optional<WallTime> writeDeadline;   ///< Latest time at which the request may be written.
     Duration timeout { 0 };                  ///< For the whole call.
     Duration silence { 0 };                  ///< Maximum time without a received byte; 0: no limit.
 };
@@ -74,7 +74,7 @@
     /// Starts the call; handlers may be called from within. Precondition: called once.
     auto start() -> void;
     /// Ends the call in the next loop iteration, as if it had timed out. Precondition: none.
-    auto breakOff() -> void;
+    auto expire() -> void;
     /// Stops reading the body until `resume`. Precondition: none.
     auto pause() -> void;
     /// Resumes reading after `pause`. Precondition: none.
--- a/src/net/httpexchange.cpp
+++ b/src/net/httpexchange.cpp
@@ -45,9 +45,9 @@
     outgoing.head = requestHead(action, *this->request);
     outgoing.body = std::shared_ptr<const std::string>(this->request, &this->request->body);
     outgoing.isHead = this->request->method == "HEAD";
-    outgoing.fresh = action.freshConnection;
+    outgoing.newConnection = action.freshConnection;
     outgoing.timeout = action.remaining;
-    outgoing.notAfter = action.expires;
+    outgoing.writeDeadline = action.expires;
     this->startCall(std::move(outgoing), action.attempt, AnswerSource::Upstream);
 }
 
@@ -58,9 +58,9 @@
     outgoing.head = requestHead(action, *this->request, this->context.hostName);
     outgoing.body = std::shared_ptr<const std::string>(this->request, &this->request->body);
     outgoing.isHead = this->request->method == "HEAD";
-    outgoing.fresh = !action.key.empty();
+    outgoing.newConnection = !action.key.empty();
     outgoing.timeout = action.remaining;
-    outgoing.notAfter = Loop::now().wall + action.remaining;
+    outgoing.writeDeadline = Loop::now().wall + action.remaining;
     this->startCall(std::move(outgoing), action.attempt, AnswerSource::Home);
 }
 
@@ -75,7 +75,7 @@
     outgoing.target = action.address;
     outgoing.head = requestHead(action, *this->request,
                                 lastId.empty() ? this->request->lastEventId : lastId);
-    outgoing.fresh = true;
+    outgoing.newConnection = true;
     outgoing.timeout = feedTimeout;
     outgoing.silence = config::feedSilenceTimeout;
     this->startCall(std::move(outgoing), action.attempt, AnswerSource::Upstream);
@@ -121,7 +121,7 @@
     }
     this->forwardBytes(this->events->push(bytes));
     if (this->events->isEventTooLarge()) {
-        this->call->breakOff();
+        this->call->expire();
     }
 }
 
@@ -162,10 +162,10 @@
     case CallEnd::Lost:
         this->report(Progress::Lost);
         break;
-    case CallEnd::Cut:
+    case CallEnd::Truncated:
         this->report(Progress::Cut);
         break;
-    case CallEnd::Whole:
+    case CallEnd::Complete:
         if (this->isEventBody) {
             this->report(Progress::Cut); // A feed that ends is reopened.
             break;
--- a/src/net/leavewatch.cpp
+++ b/src/net/leavewatch.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-LeaveWatch::LeaveWatch(Loop &loop, Disconnected callback)
+DisconnectWatch::DisconnectWatch(Loop &loop, Disconnected callback)
     : epollDescriptor(epoll_create1(EPOLL_CLOEXEC)),
       socket(h2o_evloop_socket_create(loop.raw(), this->epollDescriptor,
                                       H2O_SOCKET_FLAG_DONT_READ)),
@@ -26,17 +26,17 @@
 {
     this->socket->data = this;
     h2o_socket_read_start(this->socket, [](h2o_socket_t *self, const char * /*error*/) {
-        static_cast<LeaveWatch *>(self->data)->readAll();
+        static_cast<DisconnectWatch *>(self->data)->readAll();
     });
 }
 
-LeaveWatch::~LeaveWatch()
+DisconnectWatch::~DisconnectWatch()
 {
     h2o_socket_read_stop(this->socket);
     h2o_socket_close(this->socket);
 }
 
-auto LeaveWatch::watch(int descriptor, ExchangeId exchange) -> void
+auto DisconnectWatch::watch(int descriptor, ExchangeId exchange) -> void
 {
     epoll_event event {};
     event.events = EPOLLRDHUP | EPOLLONESHOT;
@@ -46,7 +46,7 @@
     }
 }
 
-auto LeaveWatch::readAll() -> void
+auto DisconnectWatch::readAll() -> void
 {
     std::array<epoll_event, eventsPerTurn> events {};
     const auto count = epoll_wait(this->epollDescriptor, events.data(), eventsPerTurn, 0);
--- a/src/net/leavewatch.h
+++ b/src/net/leavewatch.h
@@ -14,17 +14,17 @@
 /// Watches the sockets of HTTP/1 callers for disconnection, which h2o does not check while a
 /// request is in progress.
 /// @remarks Not thread safe.
-class LeaveWatch
+class DisconnectWatch
 {
 public:
     using Disconnected = std::function<void(ExchangeId)>;
 
     /// @param callback called when the caller of an exchange has disconnected; the exchange may
     /// have ended long before.
-    LeaveWatch(Loop &loop, Disconnected callback);
-    ~LeaveWatch();
-    LeaveWatch(const LeaveWatch &) = delete;
-    auto operator=(const LeaveWatch &) -> LeaveWatch & = delete;
+    DisconnectWatch(Loop &loop, Disconnected callback);
+    ~DisconnectWatch();
+    DisconnectWatch(const DisconnectWatch &) = delete;
+    auto operator=(const DisconnectWatch &) -> DisconnectWatch & = delete;
 
     /// Watches `descriptor` on behalf of `exchange`, replacing any earlier exchange, until the
     /// descriptor is closed. Precondition: the descriptor is open.
--- a/src/net/lineallowance.h
+++ b/src/net/lineallowance.h
@@ -11,12 +11,12 @@
 
 /// A token bucket that allows a burst of lines, then a fixed number per second.
 /// @remarks Not thread safe.
-class LineAllowance
+class LogRateLimiter
 {
 public:
     /// @param perSecond sustained rate in lines per second.
     /// @param burst most lines allowed at once after an idle period.
-    LineAllowance(double perSecond, double burst) : rate(perSecond), burstMax(burst), tokens(burst)
+    LogRateLimiter(double perSecond, double burst) : rate(perSecond), burstMax(burst), tokens(burst)
     {}
 
     /// Returns whether a line may be logged at `now`, and consumes a token or counts the refusal.
--- a/src/net/packetplane.cpp
+++ b/src/net/packetplane.cpp
@@ -80,7 +80,7 @@
 auto PacketPlane::tick(MonoTime now) -> void
 {
     const auto malformed = this->traffic().malformed;
-    if (malformed != this->malformedLogged && maySayPacket(now)) {
+    if (malformed != this->malformedLogged && mayLogPacket(now)) {
         writeLog(LogEvent::PacketMalformed,
                  "datagrams=" + std::to_string(malformed - this->malformedLogged));
         this->malformedLogged = malformed;
@@ -93,7 +93,7 @@
     const auto now = Loop::now();
     this->balancer.steer(now, heads, decisions);
     for (std::size_t i = 0; i < heads.size(); ++i) {
-        if (decisions[i].reason != PacketReason::Steered && maySayPacket(now.mono)) {
+        if (decisions[i].reason != PacketReason::Steered && mayLogPacket(now.mono)) {
             this->logPacket(heads[i], decisions[i]);
         }
     }
--- a/src/net/plainget.cpp
+++ b/src/net/plainget.cpp
@@ -16,12 +16,12 @@
     sent.target = request.target;
     sent.head = getRequestHead(request.host, request.path);
     sent.timeout = request.timeout;
-    sent.fresh = true;
+    sent.newConnection = true;
     CallHandlers handlers;
     handlers.onHead = [this](HttpHead received) { this->head = std::move(received); };
     handlers.onBody = [this](std::string_view bytes) { this->takeBody(bytes); };
     handlers.onEnd = [this](CallEnd end, int /*error*/) {
-        this->done(end == CallEnd::Whole ? &this->head : nullptr, this->body);
+        this->done(end == CallEnd::Complete ? &this->head : nullptr, this->body);
     };
     this->call = std::make_unique<HttpCall>(client, std::move(sent), std::move(handlers));
     this->call->start();
@@ -32,7 +32,7 @@
 auto PlainGet::takeBody(std::string_view bytes) -> void
 {
     if (this->body.size() + bytes.size() > this->bodyMax) {
-        this->call->breakOff();
+        this->call->expire();
         return;
     }
     this->body.append(bytes);
--- a/src/net/requestplane.cpp
+++ b/src/net/requestplane.cpp
@@ -13,11 +13,11 @@
       exchanges(loop, client, settings.init.self.name, post),
       callers(loop, config::bodyBytesMax,
               [this](st_h2o_req_t *request, Address row) {
-                  this->exchanges.takeCaller(request, row);
+                  this->exchanges.acceptCaller(request, row);
               }),
       relays(loop, config::bodyBytesMax,
              [this](st_h2o_req_t *request, Address /*tag*/) {
-                 this->exchanges.takeRelay(request);
+                 this->exchanges.acceptRelay(request);
              }),
       rows(loop, this->callers, settings.services)
 {}
--- a/src/table/entries.cpp
+++ b/src/table/entries.cpp
@@ -8,7 +8,7 @@
 
 namespace flamingograde {
 
-auto forEachEntry(const TomlText &text, std::string_view section, FindingList &findings,
+auto forEachEntry(const ParsedToml &text, std::string_view section, FindingList &findings,
                   const std::function<void(FieldReader &)> &readEntry) -> void
 {
     const auto *node = text.root.get(section);
@@ -19,35 +19,36 @@
     const auto hint = "begin each entry with [[" + name + "]]";
     const auto *entries = node->as_array();
     if (entries == nullptr) {
-        findings.add(placeOf(node->source()), name + " is not a list of entries", hint);
+        findings.add(positionOf(node->source()), name + " is not a list of entries", hint);
         return;
     }
     for (const auto &entry : *entries) {
         const auto *fields = entry.as_table();
-        const auto place = placeOf(entry.source());
+        const auto position = positionOf(entry.source());
         if (fields == nullptr) {
-            findings.add(place, name + " has an element that is not an entry with fields", hint);
+            findings.add(position, name + " has an element that is not an entry with fields", hint);
             continue;
         }
-        const auto isIncomplete = text.brokenSections.count(place.line) != 0;
+        const auto isIncomplete = text.sectionsWithErrors.count(position.line) != 0;
         FieldReader reader(*fields, section, isIncomplete, findings);
         readEntry(reader);
     }
 }
 
-auto refuseUnknownSections(const TomlText &text, const std::vector<std::string_view> &known,
+auto reportUnknownSections(const ParsedToml &text, const std::vector<std::string_view> &known,
                            std::string_view subject, bool areLists, FindingList &findings) -> void
 {
     for (const auto &[key, node] : text.root) {
         const auto name = key.str();
         const auto isKnown = std::find(known.begin(), known.end(), name) != known.end();
-        const auto isPlaceholder = !text.isWhole && name == TomlText::placeholderSection;
+        const auto isPlaceholder =
+                !text.hasNoSyntaxErrors && name == ParsedToml::placeholderSection;
         if (isKnown || isPlaceholder) {
             continue;
         }
         const auto suggestion = std::string(nearestWord(name, known));
         const auto header = areLists ? "[[" + suggestion + "]]" : "[" + suggestion + "]";
-        findings.add(placeOf(key.source()),
+        findings.add(positionOf(key.source()),
                      std::string(subject) + " no section \"" + std::string(name) + "\"",
                      suggestion.empty() ? "the sections are " + joinWords(known)
                                         : "did you mean " + header + "?");
--- a/src/table/entries.h
+++ b/src/table/entries.h
@@ -15,7 +15,7 @@
 /// added to `findings`. Does nothing if the section is missing.
 /// Precondition: `text` and `findings` outlive the call.
 /// @remarks Thread safe as long as `findings` is not shared.
-auto forEachEntry(const TomlText &text, std::string_view section, FindingList &findings,
+auto forEachEntry(const ParsedToml &text, std::string_view section, FindingList &findings,
                   const std::function<void(FieldReader &)> &readEntry) -> void;
 
 /// Adds a finding for each section that is not in `known` and suggests the known section with the
@@ -24,7 +24,7 @@
 /// @param areLists whether the sections are arrays of entries; the suggestion then has [[ ]].
 /// Precondition: `text` and `findings` outlive the call.
 /// @remarks Thread safe as long as `findings` is not shared.
-auto refuseUnknownSections(const TomlText &text, const std::vector<std::string_view> &known,
+auto reportUnknownSections(const ParsedToml &text, const std::vector<std::string_view> &known,
                            std::string_view subject, bool areLists, FindingList &findings) -> void;
 
 } // namespace flamingograde
--- a/src/table/fieldreader.cpp
+++ b/src/table/fieldreader.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-auto placeOf(const toml::source_region &region) -> Place
+auto positionOf(const toml::source_region &region) -> TextPosition
 {
     return { region.begin.line, region.begin.column };
 }
@@ -42,9 +42,9 @@
         return std::string(text);
     }
     if (this->fields.get(key)->is_string()) {
-        this->fault(key, "is not a name",
-                    "give 1 to " + std::to_string(config::nameBytesMax)
-                            + " letters, digits, \".\", \"-\" or \"_\"");
+        this->addFinding(key, "is not a name",
+                         "give 1 to " + std::to_string(config::nameBytesMax)
+                                 + " letters, digits, \".\", \"-\" or \"_\"");
     }
     return {};
 }
@@ -57,15 +57,16 @@
     }
     const auto address = Address::parse(text);
     if (!address) {
-        this->fault(key, address.error(), "give IP:PORT, such as \"10.0.0.1:80\"");
+        this->addFinding(key, address.error(), "give IP:PORT, such as \"10.0.0.1:80\"");
         return {};
     }
     if (address->port == 0) {
-        this->fault(key, "has port 0", "give a port from 1 to 65535");
+        this->addFinding(key, "has port 0", "give a port from 1 to 65535");
         return {};
     }
     if (address->ip >= firstMulticastIp) {
-        this->fault(key, "is not the unicast address of a host", "give a unicast IPv4 address");
+        this->addFinding(key, "is not the unicast address of a host",
+                         "give a unicast IPv4 address");
         return {};
     }
     return *address;
@@ -80,14 +81,14 @@
     }
     const auto *text = node->as_string();
     if (text == nullptr) {
-        this->fault(key, "is not a text string", "enclose it in quotation marks");
+        this->addFinding(key, "is not a text string", "enclose it in quotation marks");
         return {};
     }
     return text->get();
 }
 
-auto FieldReader::word(std::string_view key, const std::vector<std::string_view> &words,
-                       std::size_t fallback) -> std::size_t
+auto FieldReader::enumValue(std::string_view key, const std::vector<std::string_view> &words,
+                            std::size_t fallback) -> std::size_t
 {
     const auto *node = this->fields.get(key);
     if (node == nullptr) {
@@ -100,10 +101,10 @@
         return static_cast<std::size_t>(found - words.begin());
     }
     const auto suggestion = nearestWord(word, words);
-    this->fault(key, "is none of the allowed values",
-                suggestion.empty() ? "give " + joinWords(words)
-                                   : "did you mean " + quoted(suggestion) + "? The field takes "
-                                             + joinWords(words));
+    this->addFinding(key, "is none of the allowed values",
+                     suggestion.empty() ? "give " + joinWords(words)
+                                        : "did you mean " + quoted(suggestion)
+                                                  + "? The field takes " + joinWords(words));
     return fallback;
 }
 
@@ -119,11 +120,11 @@
         && static_cast<std::uint64_t>(value) <= range.max) {
         return static_cast<std::uint64_t>(value);
     }
-    this->fault(key,
-                integer != nullptr ? "is " + std::to_string(value) + ", out of range"
-                                   : "is not a whole number",
-                "give a whole number from " + std::to_string(range.min) + " to "
-                        + std::to_string(range.max));
+    this->addFinding(key,
+                     integer != nullptr ? "is " + std::to_string(value) + ", out of range"
+                                        : "is not a whole number",
+                     "give a whole number from " + std::to_string(range.min) + " to "
+                             + std::to_string(range.max));
     return range.fallback;
 }
 
@@ -133,7 +134,7 @@
     if (value > 0 || !this->has(key)) {
         return value;
     }
-    this->fault(key, "is not a number greater than 0", "give a number such as 10.5");
+    this->addFinding(key, "is not a number greater than 0", "give a number such as 10.5");
     return fallback;
 }
 
@@ -143,7 +144,7 @@
     if (value >= 0) {
         return value;
     }
-    this->fault(key, "is not a number of at least 0", "give a number such as 1.5");
+    this->addFinding(key, "is not a number of at least 0", "give a number such as 1.5");
     return fallback;
 }
 
@@ -167,8 +168,8 @@
     }
     const auto *value = node->as_boolean();
     if (value == nullptr) {
-        this->fault(key, "is neither true nor false",
-                    "give true or false, with no quotation marks");
+        this->addFinding(key, "is neither true nor false",
+                         "give true or false, with no quotation marks");
         return fallback;
     }
     return value->get();
@@ -179,12 +180,12 @@
     if (this->isIncomplete || this->has(key)) {
         return;
     }
-    this->findings.add(this->place(),
+    this->findings.add(this->position(),
                        "the " + std::string(this->entryKind) + " has no " + std::string(key),
                        "add a line \"" + std::string(key) + " = ...\"");
 }
 
-auto FieldReader::refuseUnknown(const std::vector<std::string_view> &known) -> void
+auto FieldReader::reportUnknownFields(const std::vector<std::string_view> &known) -> void
 {
     for (const auto &[key, node] : this->fields) {
         const auto fieldName = key.str();
@@ -192,7 +193,7 @@
             continue;
         }
         const auto suggestion = nearestWord(fieldName, known);
-        this->findings.add(placeOf(key.source()),
+        this->findings.add(positionOf(key.source()),
                            "a " + std::string(this->entryKind) + " has no field "
                                    + quoted(fieldName),
                            suggestion.empty() ? "its fields are " + joinWords(known)
@@ -205,20 +206,21 @@
     return this->fields.contains(key);
 }
 
-auto FieldReader::place(std::string_view key) const -> Place
+auto FieldReader::position(std::string_view key) const -> TextPosition
 {
     const auto *node = this->fields.get(key);
-    return node != nullptr ? placeOf(node->source()) : this->place();
+    return node != nullptr ? positionOf(node->source()) : this->position();
 }
 
-auto FieldReader::place() const -> Place
+auto FieldReader::position() const -> TextPosition
 {
-    return placeOf(this->fields.source());
+    return positionOf(this->fields.source());
 }
 
-auto FieldReader::fault(std::string_view key, const std::string &what, std::string hint) -> void
+auto FieldReader::addFinding(std::string_view key, const std::string &what, std::string hint)
+        -> void
 {
-    this->findings.add(this->place(key), std::string(key) + " " + what, std::move(hint));
+    this->findings.add(this->position(key), std::string(key) + " " + what, std::move(hint));
 }
 
 } // namespace flamingograde
--- a/src/table/fieldreader.h
+++ b/src/table/fieldreader.h
@@ -58,8 +58,8 @@
     /// Reads a string that must be one of `words`.
     /// @returns its index in `words`; `fallback` if it is missing or not in `words`.
     /// Precondition: none.
-    [[nodiscard]] auto word(std::string_view key, const std::vector<std::string_view> &words,
-                            std::size_t fallback) -> std::size_t;
+    [[nodiscard]] auto enumValue(std::string_view key, const std::vector<std::string_view> &words,
+                                 std::size_t fallback) -> std::size_t;
 
     /// Reads an integer within `range`.
     /// @returns the integer; `range.fallback` if it is missing or out of range.
@@ -86,23 +86,23 @@
 
     /// Adds a finding for each field that is not in `known` and suggests the known field with the
     /// most similar name. Precondition: none.
-    auto refuseUnknown(const std::vector<std::string_view> &known) -> void;
+    auto reportUnknownFields(const std::vector<std::string_view> &known) -> void;
 
     /// Returns whether the entry has the field. Precondition: none.
     [[nodiscard]] auto has(std::string_view key) const -> bool;
 
     /// Returns the position of the field's value, or of the entry if the field is missing.
     /// Precondition: none.
-    [[nodiscard]] auto place(std::string_view key) const -> Place;
+    [[nodiscard]] auto position(std::string_view key) const -> TextPosition;
 
     /// Returns the position of the entry in the text. Precondition: none.
-    [[nodiscard]] auto place() const -> Place;
+    [[nodiscard]] auto position() const -> TextPosition;
 
     /// Adds a finding at the position of the field `key`.
     /// @param what the error; the message begins with the name of the field.
     /// @param hint how to correct it.
     /// Precondition: none.
-    auto fault(std::string_view key, const std::string &what, std::string hint) -> void;
+    auto addFinding(std::string_view key, const std::string &what, std::string hint) -> void;
 
 private:
     [[nodiscard]] auto decimal(std::string_view key, double fallback) const -> double;
@@ -114,6 +114,6 @@
 
 /// Returns the position at which `region` begins.
 /// @remarks Thread safe.
-[[nodiscard]] auto placeOf(const toml::source_region &region) -> Place;
+[[nodiscard]] auto positionOf(const toml::source_region &region) -> TextPosition;
 
 } // namespace flamingograde
--- a/src/table/finding.cpp
+++ b/src/table/finding.cpp
@@ -9,9 +9,9 @@
     if (this->line != 0) {
         text += ":" + std::to_string(this->line) + ":" + std::to_string(this->column);
     }
-    text += ": " + this->what;
-    if (!this->mend.empty()) {
-        text += " (" + this->mend + ")";
+    text += ": " + this->message;
+    if (!this->hint.empty()) {
+        text += " (" + this->hint + ")";
     }
     return text;
 }
--- a/src/table/findinglist.cpp
+++ b/src/table/findinglist.cpp
@@ -9,14 +9,14 @@
 
 namespace flamingograde {
 
-auto FindingList::add(Place place, std::string what, std::string hint) -> void
+auto FindingList::add(TextPosition position, std::string message, std::string hint) -> void
 {
     if (this->list.size() == config::findingsMax) {
         ++this->omitted;
         return;
     }
     this->list.push_back(
-            { this->file, place.line, place.column, std::move(what), std::move(hint) });
+            { this->file, position.line, position.column, std::move(message), std::move(hint) });
 }
 
 auto FindingList::takeSorted() -> Findings
--- a/src/table/findinglist.h
+++ b/src/table/findinglist.h
@@ -20,11 +20,11 @@
     explicit FindingList(std::string_view fileName) : file(fileName) {}
 
     /// Adds a finding; once `config::findingsMax` are stored, further ones are only counted.
-    /// @param place the position of the error.
-    /// @param what the error.
+    /// @param position the position of the error.
+    /// @param message the error.
     /// @param hint how to correct it.
     /// Precondition: none.
-    auto add(Place place, std::string what, std::string hint) -> void;
+    auto add(TextPosition position, std::string message, std::string hint) -> void;
 
     /// Returns whether the list has no findings. Precondition: none.
     [[nodiscard]] auto isEmpty() const -> bool { return this->list.empty(); }
--- a/src/table/firstuses.h
+++ b/src/table/firstuses.h
@@ -13,18 +13,18 @@
 class FirstUses
 {
 public:
-    /// Records that `key` is used at `place`.
+    /// Records that `key` is used at `position`.
     /// @returns the position of the first use if the key was used before, else null; valid until
     ///     the next call.
     /// Precondition: none.
-    [[nodiscard]] auto record(const Key &key, Place place) -> const Place *
+    [[nodiscard]] auto record(const Key &key, TextPosition position) -> const TextPosition *
     {
-        const auto [entry, isNew] = this->places.emplace(key, place);
+        const auto [entry, isNew] = this->positions.emplace(key, position);
         return isNew ? nullptr : &entry->second;
     }
 
 private:
-    std::unordered_map<Key, Place> places;
+    std::unordered_map<Key, TextPosition> positions;
 };
 
 } // namespace flamingograde
--- a/src/table/tableparser.cpp
+++ b/src/table/tableparser.cpp
@@ -21,7 +21,7 @@
                      "split it by service");
         return tl::unexpected(findings.takeSorted());
     }
-    const auto parsed = readToml(text, findings);
+    const auto parsed = parseTomlWithErrors(text, findings);
     auto table = TableReader(parsed, findings).take();
     if (!findings.isEmpty()) {
         return tl::unexpected(findings.takeSorted());
--- a/src/table/tablereader.cpp
+++ b/src/table/tablereader.cpp
@@ -32,16 +32,16 @@
 const Words kindWords { "feed", "request", "upload" };
 const Words stateWords { "active", "draining" };
 
-auto lineText(Place place) -> std::string
+auto lineText(TextPosition position) -> std::string
 {
-    return "line " + std::to_string(place.line);
+    return "line " + std::to_string(position.line);
 }
 
 } // namespace
 
 auto TableReader::take() -> Table
 {
-    refuseUnknownSections(this->text, sections, "a table has", true, this->findings);
+    reportUnknownSections(this->text, sections, "a table has", true, this->findings);
     const auto readSection = [this](std::string_view section, ReadEntry readEntry) {
         forEachEntry(this->text, section, this->findings,
                      [this, readEntry](FieldReader &fields) { (this->*readEntry)(fields); });
@@ -49,7 +49,7 @@
     readSection(tokenKeySection, &TableReader::readTokenKey);
     readSection(rowSection, &TableReader::readRow);
     readSection(upstreamSection, &TableReader::readUpstream);
-    if (this->text.isWhole) {
+    if (this->text.hasNoSyntaxErrors) {
         this->checkSigningKeys();
         this->checkRows();
     }
@@ -63,14 +63,15 @@
     key.id = static_cast<std::uint8_t>(fields.number("id", { 0, tokenKeyIdMax, 0 }));
     this->readSecret(fields, key);
     key.signing = fields.flag("signing", false);
-    fields.refuseUnknown(tokenKeyFields);
+    fields.reportUnknownFields(tokenKeyFields);
     if (key.signing) {
-        this->signingKeys.push_back(fields.place("signing"));
+        this->signingKeys.push_back(fields.position("signing"));
     }
-    const auto place = fields.place("id");
-    const auto *first = fields.has("id") ? this->keyIds.record(key.id, place) : nullptr;
+    const auto position = fields.position("id");
+    const auto *first = fields.has("id") ? this->keyIds.record(key.id, position) : nullptr;
     if (first != nullptr) {
-        fields.fault("id", "is the same as in " + lineText(*first), "give each key its own id");
+        fields.addFinding("id", "is the same as in " + lineText(*first),
+                          "give each key its own id");
     }
     this->keys.push_back(key);
 }
@@ -88,14 +89,14 @@
         && text.size() == 2 * TokenKey::secretBytes) {
         return;
     }
-    fields.fault("secret", "is not a hexadecimal key of the required length",
-                 "give " + std::to_string(2 * TokenKey::secretBytes) + " hexadecimal digits");
+    fields.addFinding("secret", "is not a hexadecimal key of the required length",
+                      "give " + std::to_string(2 * TokenKey::secretBytes) + " hexadecimal digits");
 }
 
 auto TableReader::readRow(FieldReader &fields) -> void
 {
     Row row;
-    row.line = fields.place().line;
+    row.line = fields.position().line;
     row.name = fields.name("name");
     row.id = RowId::ofName(row.name);
     row.serviceName = fields.name("service");
@@ -103,14 +104,14 @@
     row.address = fields.address("address");
     fields.require("kind");
     row.kind = static_cast<RequestKind>(
-            fields.word("kind", kindWords, static_cast<std::size_t>(RequestKind::Request)));
+            fields.enumValue("kind", kindWords, static_cast<std::size_t>(RequestKind::Request)));
     this->readLimits(fields, row);
-    fields.refuseUnknown(rowFields);
+    fields.reportUnknownFields(rowFields);
     this->checkName(fields, row.name);
     this->checkAddress(fields, row.address);
     this->checkService(fields, row.service, row.serviceName);
     this->checkId(fields, "name", this->rowIds.record(row.id, row.name));
-    this->rowServices.push_back(fields.place("service"));
+    this->rowServices.push_back(fields.position("service"));
     this->rows.push_back(std::move(row));
 }
 
@@ -129,15 +130,15 @@
     row.deadline = std::chrono::milliseconds(fields.number("deadline_ms", deadlineRange));
     row.bodyMax = fields.number("body_max", { 0, config::bodyBytesMax, row.bodyMax });
     if (row.kind == RequestKind::Feed && !row.idempotent) {
-        fields.fault("idempotent", "is false, but a feed is always idempotent",
-                     "leave it out, or give kind \"request\"");
+        fields.addFinding("idempotent", "is false, but a feed is always idempotent",
+                          "leave it out, or give kind \"request\"");
     }
 }
 
 auto TableReader::readUpstream(FieldReader &fields) -> void
 {
     Upstream upstream;
-    upstream.line = fields.place().line;
+    upstream.line = fields.position().line;
     upstream.name = fields.name("name");
     upstream.id = UpstreamId::ofName(upstream.name);
     upstream.serviceName = fields.name("service");
@@ -150,8 +151,8 @@
     upstream.connections = static_cast<std::uint32_t>(
             fields.number("connections", { 1, config::connectionsMax, upstream.connections }));
     upstream.state = static_cast<UpstreamState>(
-            fields.word("state", stateWords, static_cast<std::size_t>(UpstreamState::Active)));
-    fields.refuseUnknown(upstreamFields);
+            fields.enumValue("state", stateWords, static_cast<std::size_t>(UpstreamState::Active)));
+    fields.reportUnknownFields(upstreamFields);
     this->checkName(fields, upstream.name);
     this->checkAddress(fields, upstream.address);
     this->checkService(fields, upstream.service, upstream.serviceName);
@@ -168,10 +169,10 @@
     if (name.empty()) {
         return;
     }
-    const auto *first = this->names.record(name, fields.place("name"));
+    const auto *first = this->names.record(name, fields.position("name"));
     if (first != nullptr) {
-        fields.fault("name", "is the same as in " + lineText(*first),
-                     "give each row and upstream its own name");
+        fields.addFinding("name", "is the same as in " + lineText(*first),
+                          "give each row and upstream its own name");
     }
 }
 
@@ -180,10 +181,10 @@
     if (!address.isValid()) {
         return;
     }
-    const auto *first = this->addresses.record(address, fields.place("address"));
+    const auto *first = this->addresses.record(address, fields.position("address"));
     if (first != nullptr) {
-        fields.fault("address", "is the same as in " + lineText(*first),
-                     "give each row and upstream its own address");
+        fields.addFinding("address", "is the same as in " + lineText(*first),
+                          "give each row and upstream its own address");
     }
 }
 
@@ -195,8 +196,8 @@
 auto TableReader::checkId(FieldReader &fields, std::string_view key, std::string_view other) -> void
 {
     if (!other.empty()) {
-        fields.fault(key, "maps to the same id as \"" + std::string(other) + "\"",
-                     "change a letter of the name");
+        fields.addFinding(key, "maps to the same id as \"" + std::string(other) + "\"",
+                          "change a letter of the name");
     }
 }
 
--- a/src/table/tablereader.h
+++ b/src/table/tablereader.h
@@ -30,7 +30,7 @@
 public:
     /// @param parsed the parsed text. Precondition: it outlives this reader, as does `list`.
     /// @param list receives the findings.
-    TableReader(const TomlText &parsed, FindingList &list) : text(parsed), findings(list) {}
+    TableReader(const ParsedToml &parsed, FindingList &list) : text(parsed), findings(list) {}
 
     /// Reads and validates all entries. Precondition: not called before.
     /// @returns the table; valid only if the list has no findings.
@@ -51,13 +51,13 @@
     auto checkSigningKeys() -> void;
     auto checkRows() -> void;
 
-    const TomlText &text;
+    const ParsedToml &text;
     FindingList &findings;
     std::vector<Row> rows;
-    std::vector<Place> rowServices; ///< Position of each row's service name.
+    std::vector<TextPosition> rowServices; ///< Position of each row's service name.
     std::vector<Upstream> upstreams;
     std::vector<TokenKey> keys;
-    std::vector<Place> signingKeys; ///< Position of each `signing = true`.
+    std::vector<TextPosition> signingKeys; ///< Position of each `signing = true`.
     FirstUses<std::string> names;
     FirstUses<Address> addresses;
     FirstUses<std::uint8_t> keyIds;
--- a/src/table/tomldraft.cpp
+++ b/src/table/tomldraft.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TomlDraft::TomlDraft(std::string_view text)
+TomlLines::TomlLines(std::string_view text)
 {
     auto end = text.find('\n');
     while (end != std::string_view::npos) {
@@ -30,7 +30,7 @@
     this->lines.push_back(text);
 }
 
-auto TomlDraft::sections() const -> std::vector<LineRange>
+auto TomlLines::sections() const -> std::vector<LineRange>
 {
     std::vector<LineRange> sections { {} };
     for (std::size_t line = 0; line < this->lines.size(); ++line) {
@@ -43,7 +43,7 @@
     return sections;
 }
 
-auto TomlDraft::textOf(LineRange range) const -> std::string
+auto TomlLines::textOf(LineRange range) const -> std::string
 {
     std::string text;
     for (auto line = range.begin; line < range.end; ++line) {
@@ -53,7 +53,7 @@
     return text;
 }
 
-auto TomlDraft::headerOf(std::size_t line) const -> std::size_t
+auto TomlLines::headerOf(std::size_t line) const -> std::size_t
 {
     while (line > 0 && !isHeader(this->lines[line])) {
         --line;
@@ -61,18 +61,18 @@
     return line;
 }
 
-auto TomlDraft::clearLine(std::size_t line) -> bool
+auto TomlLines::clearLine(std::size_t line) -> bool
 {
     if (line >= this->lines.size() || isBlank(this->lines[line])
-        || this->lines[line] == TomlDraft::placeholderHeader) {
+        || this->lines[line] == TomlLines::placeholderHeader) {
         return false;
     }
     this->lines[line] =
-            isHeader(this->lines[line]) ? TomlDraft::placeholderHeader : std::string_view();
+            isHeader(this->lines[line]) ? TomlLines::placeholderHeader : std::string_view();
     return true;
 }
 
-auto TomlDraft::clearContent(LineRange section) -> void
+auto TomlLines::clearContent(LineRange section) -> void
 {
     for (auto line = section.begin; line < section.end; ++line) {
         if (!isHeader(this->lines[line])) {
--- a/src/table/tomldraft.h
+++ b/src/table/tomldraft.h
@@ -21,14 +21,14 @@
 /// The lines of a TOML text with syntax errors, counted from 0. Clearing the faulty lines lets the
 /// rest be parsed; line numbers do not change.
 /// @remarks Not thread safe.
-class TomlDraft
+class TomlLines
 {
 public:
     /// The name of the section that replaces each section whose header cannot be parsed.
     static constexpr std::string_view placeholderSection = "unreadable-section";
 
     /// @param text the text. Precondition: it outlives this draft.
-    explicit TomlDraft(std::string_view text);
+    explicit TomlLines(std::string_view text);
 
     /// Returns the line ranges of the sections: the lines before the first header, then one range
     /// for each header with the lines below it. Precondition: none.
--- a/src/table/tomltext.cpp
+++ b/src/table/tomltext.cpp
@@ -25,7 +25,7 @@
 class SyntaxErrorCollector
 {
 public:
-    SyntaxErrorCollector(std::string_view text, TomlText &result, FindingList &list)
+    SyntaxErrorCollector(std::string_view text, ParsedToml &result, FindingList &list)
         : draft(text), read(result), findings(list)
     {}
 
@@ -80,33 +80,33 @@
     /// @returns whether the line changed.
     auto reportAndClear(const toml::parse_error &error, std::size_t firstLine) -> bool
     {
-        auto place = placeOf(error.source());
-        place.line += static_cast<std::uint32_t>(firstLine);
-        this->findings.add(place, std::string(error.description()), "fix the TOML syntax here");
+        auto position = positionOf(error.source());
+        position.line += static_cast<std::uint32_t>(firstLine);
+        this->findings.add(position, std::string(error.description()), "fix the TOML syntax here");
         ++this->errorCount;
-        const auto line = std::min<std::size_t>(place.line, this->draft.all().end) - 1;
+        const auto line = std::min<std::size_t>(position.line, this->draft.all().end) - 1;
         const auto header = this->draft.headerOf(line) + 1;
-        this->read.brokenSections.insert(static_cast<std::uint32_t>(header));
+        this->read.sectionsWithErrors.insert(static_cast<std::uint32_t>(header));
         return this->draft.clearLine(line);
     }
 
-    TomlDraft draft;
-    TomlText &read;
+    TomlLines draft;
+    ParsedToml &read;
     FindingList &findings;
     std::size_t errorCount = 0;
 };
 
 } // namespace
 
-auto readToml(std::string_view text, FindingList &findings) -> TomlText
+auto parseTomlWithErrors(std::string_view text, FindingList &findings) -> ParsedToml
 {
-    TomlText read;
+    ParsedToml read;
     auto result = toml::parse(text);
     if (result) {
         read.root = std::move(result).table();
         return read;
     }
-    read.isWhole = false;
+    read.hasNoSyntaxErrors = false;
     SyntaxErrorCollector(text, read, findings).run();
     return read;
 }
--- a/src/table/tomltext.h
+++ b/src/table/tomltext.h
@@ -13,13 +13,14 @@
 namespace flamingograde {
 
 /// The parts of a TOML text that could be parsed.
-struct TomlText
+struct ParsedToml
 {
-    static constexpr auto placeholderSection = TomlDraft::placeholderSection;
+    static constexpr auto placeholderSection = TomlLines::placeholderSection;
 
     toml::table root;
-    bool isWhole = true;                              ///< Whether the text has no syntax errors.
-    std::unordered_set<std::uint32_t> brokenSections; ///< Header lines of the sections with one.
+    bool hasNoSyntaxErrors = true; ///< Whether the text has no syntax errors.
+    std::unordered_set<std::uint32_t>
+            sectionsWithErrors; ///< Header lines of the sections with one.
 };
 
 /// Parses `text`. At each syntax error, adds a finding, skips the faulty line and continues.
@@ -27,6 +28,6 @@
 /// @param findings receives at most `config::syntaxFindingsMax` syntax errors.
 /// @returns the parts that could be parsed.
 /// @remarks Thread safe.
-[[nodiscard]] auto readToml(std::string_view text, FindingList &findings) -> TomlText;
+[[nodiscard]] auto parseTomlWithErrors(std::string_view text, FindingList &findings) -> ParsedToml;
 
 } // namespace flamingograde
--- a/src/wire/directorycodec.cpp
+++ b/src/wire/directorycodec.cpp
@@ -207,7 +207,7 @@
 {
     auto startTimes = Json::array();
     for (const auto &record : update.present) {
-        const auto born = record.upstream.born.time_since_epoch();
+        const auto born = record.upstream.startedAt.time_since_epoch();
         startTimes.push_back(milliseconds(born));
     }
     return startTimes;
@@ -219,7 +219,7 @@
     for (std::size_t i = 0; startTimes != nullptr && i < update.present.size(); ++i) {
         const auto born =
                 std::chrono::milliseconds(reader.number((*startTimes)[i], startTimeMaxMs));
-        update.present[i].upstream.born = WallTime(born);
+        update.present[i].upstream.startedAt = WallTime(born);
     }
 }
 
@@ -268,7 +268,7 @@
                { "x", std::move(removed) },
                { "b", packStartTimes(update) },
                { "f", std::move(faulty) },
-               { "s", milliseconds(update.settlesIn) } };
+               { "s", milliseconds(update.removalsDeferredFor) } };
     if (!update.evacuations.empty()) {
         map["e"] = packEvacuations(update);
     }
@@ -304,7 +304,7 @@
             update.evacuations.push_back(unpackEvacuation(reader, order));
         }
     }
-    update.settlesIn = unpackDuration(reader, reader.field(map, "s"));
+    update.removalsDeferredFor = unpackDuration(reader, reader.field(map, "s"));
     if (map.contains("r")) {
         update.rows = unpackRows(reader, map["r"]);
     }
