--- a/src/wire/messagedecoder.cpp
+++ b/src/wire/messagedecoder.cpp
@@ -123,7 +123,7 @@
             map.contains("m") ? static_cast<std::uint32_t>(reader.number(map["m"], uint32Max)) : 0;
     gossip.readsFail = map.contains("f") && reader.flag(map["f"]);
     if (map.contains("k")) {
-        constexpr auto lastUse = static_cast<std::uint64_t>(LinkUse::Feed);
+        constexpr auto lastUse = static_cast<std::uint64_t>(LinkUse::Changes);
         gossip.linkUse = static_cast<LinkUse>(reader.number(map["k"], lastUse));
     }
     if (map.contains("u")) {
@@ -204,7 +204,7 @@
     const auto &at = *fields;
     knowledge.cell = CellId(reader.number(at[0]));
     knowledge.knownSinceUs = reader.signedNumber(at[1]);
-    knowledge.tables = { reader.number(at[2]) };
+    knowledge.coveredRevision = { reader.number(at[2]) };
     for (const auto &entry : reader.list(at[3], config::handoverKeysMax)) {
         const auto *key = reader.tuple(entry, handedKeyFields);
         if (key == nullptr) {
--- a/src/wire/messageencoder.cpp
+++ b/src/wire/messageencoder.cpp
@@ -143,8 +143,8 @@
         keys.push_back(
                 Json::array({ key.hash, static_cast<std::uint8_t>(key.state), key.dispatchedUs }));
     }
-    return Json::array({ knowledge.cell.value(), knowledge.knownSinceUs, knowledge.tables.number,
-                         std::move(keys) });
+    return Json::array({ knowledge.cell.value(), knowledge.knownSinceUs,
+                         knowledge.coveredRevision.number, std::move(keys) });
 }
 
 auto pack(const ClaimGrant &message) -> Json
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -62,11 +62,12 @@
 class SettingsReader
 {
 public:
-    SettingsReader(const TomlText &document, FindingList &list) : text(document), findings(list) {}
+    SettingsReader(const ParsedToml &document, FindingList &list) : text(document), findings(list)
+    {}
 
     auto parse() -> Settings
     {
-        refuseUnknownSections(this->text, sectionNames, "the settings have", false, this->findings);
+        reportUnknownSections(this->text, sectionNames, "the settings have", false, this->findings);
         this->readHost();
         this->readListen();
         this->readAdvertise();
@@ -98,7 +99,7 @@
     auto readLog() -> void;
     auto readPolicy() -> void;
 
-    const TomlText &text;
+    const ParsedToml &text;
     FindingList &findings;
     toml::table emptySection; ///< Used in place of a missing section.
     Settings settings;
@@ -110,17 +111,18 @@
     const auto *node = this->text.root.get(section);
     const auto *table = node != nullptr ? node->as_table() : nullptr;
     if (node != nullptr && table == nullptr) {
-        this->findings.add(placeOf(node->source()), std::string(section) + " is not a section",
+        this->findings.add(positionOf(node->source()), std::string(section) + " is not a section",
                            "begin it with [" + std::string(section) + "]");
     }
-    const auto isUnreadable = table == nullptr && (node != nullptr || !this->text.isWhole);
+    const auto isUnreadable =
+            table == nullptr && (node != nullptr || !this->text.hasNoSyntaxErrors);
     const auto isBroken =
             isUnreadable
             || (table != nullptr
-                && this->text.brokenSections.count(placeOf(table->source()).line) != 0);
+                && this->text.sectionsWithErrors.count(positionOf(table->source()).line) != 0);
     FieldReader result(table != nullptr ? *table : this->emptySection, section, isBroken,
                        this->findings);
-    result.refuseUnknown(fields);
+    result.reportUnknownFields(fields);
     return result;
 }
 
@@ -130,7 +132,7 @@
     const auto value = fields.has(key) ? fields.text(key) : defaultListen;
     const auto address = Address::parse(value);
     if (!address) {
-        fields.fault(key, address.error(), "give IP:PORT, such as \"127.0.0.1:0\"");
+        fields.addFinding(key, address.error(), "give IP:PORT, such as \"127.0.0.1:0\"");
         return {};
     }
     return *address;
@@ -144,7 +146,8 @@
     const auto value = fields.text(key);
     const auto address = Address::parse(std::string(value) + ":0");
     if (!address || !address->isValid()) {
-        fields.fault(key, "is not an IP address", "give an IPv4 address, such as \"10.0.0.1\"");
+        fields.addFinding(key, "is not an IP address",
+                          "give an IPv4 address, such as \"10.0.0.1\"");
         return {};
     }
     return *address;
@@ -183,7 +186,7 @@
     }
     this->settings.readyPath = fields.text("ready_path");
     if (this->settings.readyPath.empty() || this->settings.readyPath.front() != '/') {
-        fields.fault("ready_path", "is not an absolute path", "begin it with \"/\"");
+        fields.addFinding("ready_path", "is not an absolute path", "begin it with \"/\"");
     }
 }
 
@@ -199,8 +202,8 @@
     this->settings.init.flowsTracked =
             fields.number("flows_tracked", { flowsTrackedMin, countMax, config::flowsTracked });
     if (!isPowerOfTwo(this->settings.init.flowsTracked)) {
-        fields.fault("flows_tracked", "is not a power of two",
-                     "give a power of two, such as 16384");
+        fields.addFinding("flows_tracked", "is not a power of two",
+                          "give a power of two, such as 16384");
     }
 }
 
@@ -216,8 +219,8 @@
     }
     const auto address = Address::parse(value);
     if (!address || address->port != 0) {
-        fields.fault(key, "is neither \"table\" nor an IP address with port 0",
-                     "give \"table\", or an address such as \"127.0.0.1:0\"");
+        fields.addFinding(key, "is neither \"table\" nor an IP address with port 0",
+                          "give \"table\", or an address such as \"127.0.0.1:0\"");
         return;
     }
     this->settings.servicesFromTable = false;
@@ -242,7 +245,7 @@
 {
     auto fields = this->reader("platform", platformFields);
     this->settings.platform = fields.address("address");
-    this->settings.init.readsDirectory = fields.word("publishes", publishesNames, 0) == 1;
+    this->settings.init.readsDirectory = fields.enumValue("publishes", publishesNames, 0) == 1;
 }
 
 auto SettingsReader::readSeeds() -> void
@@ -253,7 +256,7 @@
 
 auto SettingsReader::readSeed(FieldReader &fields) -> void
 {
-    fields.refuseUnknown(seedFields);
+    fields.reportUnknownFields(seedFields);
     if (!fields.has("name") && !fields.has("zone") && !fields.has("relay")) {
         this->settings.init.seedAddresses.push_back(fields.address("peer"));
         return;
@@ -287,14 +290,14 @@
     auto fields = this->reader("log", logFields);
     constexpr auto defaultLevel = static_cast<std::size_t>(LogLevel::Info);
     this->settings.logLevel =
-            static_cast<LogLevel>(fields.word("level", logLevelNames, defaultLevel));
+            static_cast<LogLevel>(fields.enumValue("level", logLevelNames, defaultLevel));
 }
 
 auto SettingsReader::readPolicy() -> void
 {
     auto fields = this->reader("policy", policyFields);
     auto &init = this->settings.init;
-    init.policy = static_cast<Policy>(fields.word("placement", policyNames, 0));
+    init.policy = static_cast<Policy>(fields.enumValue("placement", policyNames, 0));
     constexpr auto seedMax = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
     init.seed = fields.number("seed", { 0, seedMax, init.seed });
 }
@@ -304,7 +307,7 @@
 auto parseSettings(std::string_view text, std::string_view file) -> tl::expected<Settings, Findings>
 {
     FindingList findings(file);
-    const auto document = readToml(text, findings);
+    const auto document = parseTomlWithErrors(text, findings);
     auto settings = SettingsReader(document, findings).parse();
     if (!findings.isEmpty()) {
         return tl::unexpected(findings.takeSorted());
--- a/tests/net/exchangetests.cpp
+++ b/tests/net/exchangetests.cpp
@@ -37,10 +37,10 @@
                     [this](Event event) { this->events.push_back(std::move(event)); }),
           callers(loop, 1000000,
                   [this](st_h2o_req_t *request, Address row) {
-                      this->exchanges.takeCaller(request, row);
+                      this->exchanges.acceptCaller(request, row);
                   }),
           relays(loop, 1000000,
-                 [this](st_h2o_req_t *request, Address) { this->exchanges.takeRelay(request); })
+                 [this](st_h2o_req_t *request, Address) { this->exchanges.acceptRelay(request); })
     {
         const auto any = *Address::parse("127.0.0.1:0");
         this->callerAddress = *this->callers.listen(any, rowAddress);
@@ -121,7 +121,7 @@
         sent.target = target;
         sent.head = request;
         sent.timeout = timeout;
-        sent.fresh = true;
+        sent.newConnection = true;
         CallHandlers handlers;
         handlers.onHead = [this](HttpHead received) { this->head = std::move(received); };
         handlers.onBody = [this](std::string_view bytes) { this->body.append(bytes); };
@@ -209,7 +209,7 @@
     const auto answered = host.takeProgress(Progress::Answered);
     CHECK(answered.whole != nullptr);
     REQUIRE(runUntil(host.loop, [&] { return caller.end.has_value(); }));
-    CHECK(*caller.end == CallEnd::Whole);
+    CHECK(*caller.end == CallEnd::Complete);
     CHECK(caller.body == "hello");
     CHECK(caller.head->header("x-own") == "1");
     CHECK(caller.head->header("flamingograde-verdict") == "run");
@@ -242,7 +242,7 @@
     host.takeProgress(Progress::Cut);
     host.exchanges.act(AbortAnswer { id });
     REQUIRE(runUntil(host.loop, [&] { return caller.end.has_value(); }));
-    CHECK(*caller.end == CallEnd::Cut);
+    CHECK(*caller.end == CallEnd::Truncated);
     host.wait(20ms);
     CHECK(host.exchanges.size() == 0);
     CHECK(host.events.empty());
@@ -315,7 +315,7 @@
     host.takeProgress(Progress::Answering);
     host.exchanges.act(PassAnswer { id, "" });
     REQUIRE(runUntil(host.loop, [&] { return caller.end.has_value(); }));
-    CHECK(*caller.end == CallEnd::Whole);
+    CHECK(*caller.end == CallEnd::Complete);
 }
 
 TEST_CASE("a dispatch for an unknown exchange reports that nothing was sent", "[exchange]")
@@ -357,7 +357,7 @@
     host.exchanges.act(EndFeed { id });
     CHECK(host.takeProgress(Progress::Answered).attempt == 2);
     REQUIRE(runUntil(host.loop, [&] { return caller.end.has_value(); }));
-    CHECK(*caller.end == CallEnd::Whole);
+    CHECK(*caller.end == CallEnd::Complete);
     CHECK(caller.body == events);
     host.wait(20ms);
     CHECK(host.exchanges.size() == 0);
@@ -463,7 +463,7 @@
         CHECK_FALSE(report.head->refusal);
         entry.exchanges.act(PassAnswer { id, "" });
         REQUIRE(runUntil(entry.loop, [&] { return caller.end.has_value(); }));
-        CHECK(*caller.end == CallEnd::Whole);
+        CHECK(*caller.end == CallEnd::Complete);
         CHECK(caller.body == "hello");
         CHECK(caller.head->header("flamingograde-verdict") == "run");
     }
@@ -524,7 +524,7 @@
     host.exchanges.act(PassAnswer { arrived.exchange, "" });
     host.takeProgress(Progress::Answered);
     REQUIRE(runUntil(host.loop, [&] { return caller.end.has_value(); }));
-    CHECK(*caller.end == CallEnd::Whole);
+    CHECK(*caller.end == CallEnd::Complete);
     CHECK(caller.body == answer);
 }
 
--- a/tests/net/httpcalltests.cpp
+++ b/tests/net/httpcalltests.cpp
@@ -64,30 +64,32 @@
 
 TEST_CASE("a complete answer ends the call as whole", "[httpcall]")
 {
-    CHECK(callEndFor(whole, AfterAnswer::Keep) == CallEnd::Whole);
-    CHECK(callEndFor(whole, AfterAnswer::Close) == CallEnd::Whole);
-    CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n0\r\n\r\n", AfterAnswer::Keep) == CallEnd::Whole);
+    CHECK(callEndFor(whole, AfterAnswer::Keep) == CallEnd::Complete);
+    CHECK(callEndFor(whole, AfterAnswer::Close) == CallEnd::Complete);
+    CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n0\r\n\r\n", AfterAnswer::Keep)
+          == CallEnd::Complete);
     CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n0\r\n\r\n", AfterAnswer::Close)
-          == CallEnd::Whole);
+          == CallEnd::Complete);
     CHECK(callEndFor("HTTP/1.1 304 Not Modified\r\nRevision: 3\r\n\r\n", AfterAnswer::Keep)
-          == CallEnd::Whole);
+          == CallEnd::Complete);
     CHECK(callEndFor("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", AfterAnswer::Keep)
-          == CallEnd::Whole);
-    CHECK(callEndFor("HTTP/1.1 200 OK\r\n\r\nuntil the end", AfterAnswer::Close) == CallEnd::Whole);
+          == CallEnd::Complete);
+    CHECK(callEndFor("HTTP/1.1 200 OK\r\n\r\nuntil the end", AfterAnswer::Close)
+          == CallEnd::Complete);
 }
 
 TEST_CASE("a truncated answer ends the call as cut", "[httpcall]")
 {
     for (const auto afterAnswer : { AfterAnswer::Close, AfterAnswer::Reset }) {
         CHECK(callEndFor("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", afterAnswer)
-              == CallEnd::Cut);
+              == CallEnd::Truncated);
         CHECK(callEndFor("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", afterAnswer)
-              == CallEnd::Cut);
-        CHECK(callEndFor(chunkedHead, afterAnswer) == CallEnd::Cut);
-        CHECK(callEndFor(chunkedHead + "5\r\nhel", afterAnswer) == CallEnd::Cut);
-        CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n", afterAnswer) == CallEnd::Cut);
-        CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n0\r\n", afterAnswer) == CallEnd::Cut);
-        CHECK(callEndFor(chunkedHead + "nonsense\r\n", afterAnswer) == CallEnd::Cut);
+              == CallEnd::Truncated);
+        CHECK(callEndFor(chunkedHead, afterAnswer) == CallEnd::Truncated);
+        CHECK(callEndFor(chunkedHead + "5\r\nhel", afterAnswer) == CallEnd::Truncated);
+        CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n", afterAnswer) == CallEnd::Truncated);
+        CHECK(callEndFor(chunkedHead + "5\r\nhello\r\n0\r\n", afterAnswer) == CallEnd::Truncated);
+        CHECK(callEndFor(chunkedHead + "nonsense\r\n", afterAnswer) == CallEnd::Truncated);
     }
 }
 
@@ -120,7 +122,7 @@
     HttpClient client(loop, Address());
     const ScriptServer server(loop, whole, AfterAnswer::Keep);
     auto request = requestTo(server.address());
-    request.notAfter = Loop::now().wall - 1ms;
+    request.writeDeadline = Loop::now().wall - 1ms;
     const Call late(client, request);
     REQUIRE(runUntil(loop, [&] { return late.end.has_value(); }));
     CHECK(*late.end == CallEnd::NotSent);
@@ -144,7 +146,7 @@
     const Call cut(client, second);
     REQUIRE(runUntil(loop, [&] { return lost.end.has_value() && cut.end.has_value(); }));
     CHECK(*lost.end == CallEnd::Lost);
-    CHECK(*cut.end == CallEnd::Cut);
+    CHECK(*cut.end == CallEnd::Truncated);
     CHECK(cut.body == "hello");
 }
 
@@ -160,7 +162,7 @@
     REQUIRE(runUntil(loop, [&] { return call.head.has_value(); }));
     CHECK_FALSE(call.end.has_value());
     REQUIRE(runUntil(loop, [&] { return call.end.has_value(); }));
-    CHECK(*call.end == CallEnd::Cut);
+    CHECK(*call.end == CallEnd::Truncated);
 }
 
 TEST_CASE("a long call ends as lost when no head arrives within the silence limit", "[httpcall]")
@@ -184,11 +186,11 @@
     for (auto round = 0; round < 3; ++round) {
         const Call call(client, requestTo(server.address()));
         REQUIRE(runUntil(loop, [&] { return call.end.has_value(); }));
-        CHECK(*call.end == CallEnd::Whole);
+        CHECK(*call.end == CallEnd::Complete);
     }
     CHECK(server.sources.size() == 1);
     auto request = requestTo(server.address());
-    request.fresh = true;
+    request.newConnection = true;
     const Call fresh(client, request);
     REQUIRE(runUntil(loop, [&] { return fresh.end.has_value(); }));
     CHECK(server.sources.size() == 2);
@@ -206,7 +208,7 @@
             loop, [] { return false; }, 50ms);
     const Call second(client, requestTo(server.address()));
     REQUIRE(runUntil(loop, [&] { return second.end.has_value(); }));
-    CHECK(*second.end == CallEnd::Whole);
+    CHECK(*second.end == CallEnd::Complete);
     CHECK(server.sources.size() == 2);
 }
 
@@ -239,6 +241,6 @@
     CHECK(call.body.size() == before);
     call.call->resume();
     REQUIRE(runUntil(loop, [&] { return call.end.has_value(); }));
-    CHECK(*call.end == CallEnd::Whole);
+    CHECK(*call.end == CallEnd::Complete);
     CHECK(call.body.size() == size);
 }
--- a/tests/net/logtests.cpp
+++ b/tests/net/logtests.cpp
@@ -90,7 +90,7 @@
 
 TEST_CASE("a burst of lines is allowed, then a fixed number per second", "[log]")
 {
-    LineAllowance allowance(10, 50);
+    LogRateLimiter allowance(10, 50);
     MonoTime now { 100s };
     int taken = 0;
     for (int i = 0; i < 200; ++i) {
--- a/tests/net/packetcodectests.cpp
+++ b/tests/net/packetcodectests.cpp
@@ -53,7 +53,7 @@
     CHECK(head->sequence == 0x01020304);
     CHECK(head->flags.opens);
     CHECK_FALSE(head->flags.acknowledges);
-    CHECK(head->copy == 2);
+    CHECK(head->retransmissions == 2);
     CHECK(head->acknowledged == 0);
     CHECK_FALSE(head->cookie.isValid());
     CHECK(head->dataBytes == 0);
@@ -69,7 +69,7 @@
     REQUIRE(head);
     CHECK(head->cookie.value == 0x12000078);
     CHECK(head->acknowledged == 2);
-    CHECK(head->copy == 0);
+    CHECK(head->retransmissions == 0);
     CHECK(head->dataBytes == 1200);
     CHECK(head->flags.acknowledges);
     CHECK(head->flags.finishes);
--- a/tests/net/storeanswertests.cpp
+++ b/tests/net/storeanswertests.cpp
@@ -88,7 +88,7 @@
     CHECK(upstream->state == UpstreamState::Draining);
     CHECK(upstream->warmup == std::chrono::milliseconds(1500));
     CHECK(upstream->version == "v3");
-    CHECK(upstream->born == WallTime(std::chrono::milliseconds(1764700000123)));
+    CHECK(upstream->startedAt == WallTime(std::chrono::milliseconds(1764700000123)));
 }
 
 TEST_CASE("an upstream with a missing or invalid field is rejected", "[store]")
@@ -118,7 +118,7 @@
     extended.erase("born");
     const auto withoutStart = readUpstream("i-0a", extended.dump());
     REQUIRE(withoutStart);
-    CHECK(withoutStart->born == WallTime());
+    CHECK(withoutStart->startedAt == WallTime());
     for (const auto &born : { json("1764700000123"), json(1764700000123.5), json(-1), json(true),
                               json(1e300), json::array(), json::object() }) {
         auto invalidStart = server();
--- a/tests/standins/common/httpanswer.cpp
+++ b/tests/standins/common/httpanswer.cpp
@@ -4,7 +4,7 @@
 
 namespace standins {
 
-auto headOf(const HttpAnswer &answer) -> std::string
+auto serializeHead(const HttpAnswer &answer) -> std::string
 {
     const auto status = static_cast<boost::beast::http::status>(answer.status);
     std::string head = "HTTP/1.1 " + std::to_string(answer.status) + " ";
--- a/tests/standins/common/httpanswer.h
+++ b/tests/standins/common/httpanswer.h
@@ -17,6 +17,6 @@
 
 /// Returns the status line and headers of `answer`, including its Content-Length, up to and
 /// including the empty line.
-[[nodiscard]] auto headOf(const HttpAnswer &answer) -> std::string;
+[[nodiscard]] auto serializeHead(const HttpAnswer &answer) -> std::string;
 
 } // namespace standins
--- a/tests/standins/common/httpconnection.cpp
+++ b/tests/standins/common/httpconnection.cpp
@@ -34,7 +34,7 @@
 auto HttpConnection::answer(const HttpAnswer &answer) -> void
 {
     this->closeHandler = nullptr;
-    auto bytes = std::make_shared<const std::string>(headOf(answer) + answer.body);
+    auto bytes = std::make_shared<const std::string>(serializeHead(answer) + answer.body);
     this->write(std::move(bytes), [this] { this->onAnswerWritten(); });
 }
 
--- a/tests/standins/packets/packetbytes.cpp
+++ b/tests/standins/packets/packetbytes.cpp
@@ -71,7 +71,8 @@
     appendLittleEndian<std::uint32_t>(bytes, packet.head.cookie.value);
     appendLittleEndian<std::uint32_t>(bytes, packet.head.sequence);
     const auto opening = packet.head.flags.opens && !packet.head.flags.acknowledges;
-    appendLittleEndian<std::uint32_t>(bytes, opening ? packet.head.copy : packet.head.acknowledged);
+    appendLittleEndian<std::uint32_t>(bytes, opening ? packet.head.retransmissions
+                                                     : packet.head.acknowledged);
     appendLittleEndian<std::uint16_t>(bytes, packet.head.dataBytes);
     bytes.push_back(flagsOf(packet));
     bytes.resize(headerSize);
@@ -109,7 +110,7 @@
     packet.head.flags = { (flags & synBit) != 0, (flags & ackBit) != 0, (flags & finBit) != 0,
                           (flags & rstBit) != 0, (flags & returnedBit) != 0 };
     const auto opening = packet.head.flags.opens && !packet.head.flags.acknowledges;
-    packet.head.copy = opening ? copyOrAcknowledged : 0;
+    packet.head.retransmissions = opening ? copyOrAcknowledged : 0;
     packet.head.acknowledged = opening ? 0 : copyOrAcknowledged;
     if (packet.head.dataBytes >= requestFieldsSize
         && bytes.size() >= headerSize + requestFieldsSize) {
--- a/tests/standins/packets/packetsprogram.cpp
+++ b/tests/standins/packets/packetsprogram.cpp
@@ -141,7 +141,7 @@
     description.instance = flamingograde::InstanceId(++this->lastInstance);
     description.slots = command.value("slots", 2U);
     description.name = name;
-    UpstreamSurroundings callbacks;
+    UpstreamCallbacks callbacks;
     callbacks.toCaller = [this, name](const FlowPacket &packet) {
         const auto bytes = serializeFromUpstream(packet);
         const Udp::endpoint to(asio::ip::address_v4(packet.head.caller.ip), this->callerPort);
--- a/tests/standins/upstream/upstream.cpp
+++ b/tests/standins/upstream/upstream.cpp
@@ -230,7 +230,7 @@
 
 auto Upstream::sendCutAnswer(const Connection &connection, const HttpAnswer &answer) -> void
 {
-    std::string bytes = headOf(answer);
+    std::string bytes = serializeHead(answer);
     if (this->faults.cutAnswers == CutPoint::Head) {
         bytes.resize(bytes.size() / 2);
     } else {
--- a/tests/unit/cellhome.h
+++ b/tests/unit/cellhome.h
@@ -91,7 +91,7 @@
                              activeZones(*this->board.config.table),
                              {} } },
                          this->board.now.wall);
-        placements.agree(twoHoursAgo);
+        placements.markAgreed(twoHoursAgo);
         this->run(Tick {});
     }
 
@@ -182,7 +182,7 @@
         exchange.cell = this->cell;
         exchange.idempotent = row.idempotent;
         exchange.key = key;
-        exchange.keyBirth = keyBirthOf(key);
+        exchange.keyCreated = keyCreationTime(key);
         exchange.arrived = this->board.now.mono;
         exchange.deadline = this->board.now.mono + row.deadline;
         exchange.attempt = 1;
--- a/tests/unit/chaostest.cpp
+++ b/tests/unit/chaostest.cpp
@@ -98,8 +98,8 @@
         auto &vote = this->votes[this->votes.size() - 1 - this->draw(this->votes.size()) / 8];
         if (this->draw(8) == 0) {
             vote.callerLeft = true;
-            this->fleet.give(vote.attempts.back().first,
-                             CallerLeft { vote.attempts.back().second });
+            this->fleet.deliver(vote.attempts.back().first,
+                                CallerLeft { vote.attempts.back().second });
         }
         const auto host = this->drawHost();
         vote.attempts.emplace_back(host, this->fleet.call(host, voteAddress, {}, vote.key));
@@ -124,12 +124,12 @@
         } else if (roll < 7) {
             this->fleet.resume(host);
         } else if (roll < 9) {
-            this->fleet.mute.insert(host);
+            this->fleet.isolatedHosts.insert(host);
         } else if (roll < 14) {
-            this->fleet.mute.clear();
+            this->fleet.isolatedHosts.clear();
         } else if (roll == 14 && this->killed.size() < 3) {
             this->killed.insert(host);
-            this->fleet.give(host, StopRequested {});
+            this->fleet.deliver(host, StopRequested {});
         }
     }
 };
--- a/tests/unit/coldsharingtest.cpp
+++ b/tests/unit/coldsharingtest.cpp
@@ -42,7 +42,7 @@
             member.id = HostId::ofName(name);
             member.zone = ZoneId::ofName("a");
         }
-        membership.touch();
+        membership.invalidateLookups();
         membership.refresh();
         auto rows = std::make_shared<PacketRows>(*bothRows(20));
         rows->coldLimits = { { ServiceId::ofName("live"), "live", coldTime, limitPerSecond } };
@@ -67,7 +67,7 @@
         this->take(update);
     }
 
-    /// Sends an opening packet every 2 ms for `duration`. @returns how largeZone went to zone "a".
+    /// Sends an opening packet every 2 ms for `duration`. @returns how many went to zone "a".
     auto sendOpenings(Duration duration) -> std::size_t
     {
         std::size_t cold = 0;
--- a/tests/unit/configtest.cpp
+++ b/tests/unit/configtest.cpp
@@ -19,7 +19,7 @@
         fleet.add(zone + "1", zone);
         fleet.add(zone + "2", zone);
     }
-    REQUIRE(fleet.runUntil([&] { return fleet.haveRevision(1) && fleet.isHomed(); }, 6s));
+    REQUIRE(fleet.runUntil([&] { return fleet.haveRevision(1) && fleet.hasOneHomePerZone(); }, 6s));
     fleet.run(3s);
 }
 
@@ -102,7 +102,7 @@
     CHECK(fleet.platformCalls - before <= 360U);
     fleet.add("c3", "c", true);
     CHECK(fleet.runUntil([&] { return fleet.haveRevision(2); }, 2s));
-    CHECK(fleet.runUntil([&] { return fleet.isHomed(); }, 3s));
+    CHECK(fleet.runUntil([&] { return fleet.hasOneHomePerZone(); }, 3s));
     CHECK(fleet.faults.empty());
 }
 
@@ -138,9 +138,9 @@
     fleet.add("b1", "b", true);
     fleet.add("a2", "a", true);
     fleet.add("c1", "c", true);
-    REQUIRE(fleet.runUntil([&] { return fleet.isHomed(); }, 4s));
+    REQUIRE(fleet.runUntil([&] { return fleet.hasOneHomePerZone(); }, 4s));
     fleet.run(20s);
-    CHECK(fleet.isHomed());
+    CHECK(fleet.hasOneHomePerZone());
     CHECK(fleet.board("a1").membership.aliveCount() == 4);
     CHECK(fleet.faults.empty());
 }
@@ -178,13 +178,13 @@
     for (int i = 0; !isMovedByEdit(movedKey) || isMovedByEdit(unmovedKey); ++i) {
         (isMovedByEdit("k" + std::to_string(i)) ? movedKey : unmovedKey) = "k" + std::to_string(i);
     }
-    CHECK(placedSince("c1", movedKey) == PlacementHistory::never);
+    CHECK(placedSince("c1", movedKey) == PlacementHistory::unknownSince);
     CHECK(isPlacementCertain("c1", unmovedKey));
     fleet.kill("c2");
     fleet.start("c2");
     fleet.run(5s);
     // A restarted host learns from other hosts which keys the edit moved.
-    CHECK(placedSince("c2", movedKey) == PlacementHistory::never);
+    CHECK(placedSince("c2", movedKey) == PlacementHistory::unknownSince);
     CHECK(isPlacementCertain("c2", unmovedKey));
     CHECK(placedSince("c2", unmovedKey) == placedSince("c1", unmovedKey));
     fleet.heal();
--- a/tests/unit/directorycontrollertest.cpp
+++ b/tests/unit/directorycontrollertest.cpp
@@ -254,7 +254,7 @@
     CHECK(host.tickUntilRead(2s) == config::tickPeriod);
     host.advanceTime(100ms);
     host.removeUpstream2(12);
-    CHECK(host.tickUntilRead(2s) >= config::directoryGather);
+    CHECK(host.tickUntilRead(2s) >= config::rolloutReadPause);
 }
 
 TEST_CASE("a host of a small fleet requests newer changes at once", "[directory]")
--- a/tests/unit/directorytest.cpp
+++ b/tests/unit/directorytest.cpp
@@ -58,7 +58,7 @@
           "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    const auto changes = directory.take(
+    const auto changes = directory.apply(
             whole(9, { record(1, "live", "a", 3), record(2, "live", "b", 4) }), start);
     CHECK(changes.advanced);
     CHECK(changes.listed.size() == 2);
@@ -72,8 +72,8 @@
 TEST_CASE("an older update changes nothing", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3) }), start);
-    const auto changes = directory.take(whole(8, { record(2, "live", "a", 7) }), start);
+    directory.apply(whole(9, { record(1, "live", "a", 3) }), start);
+    const auto changes = directory.apply(whole(8, { record(2, "live", "a", 7) }), start);
     CHECK_FALSE(changes.advanced);
     CHECK(directory.listedCount() == 1);
     CHECK(directory.revision().number == 9);
@@ -82,7 +82,7 @@
 TEST_CASE("an update that skips changes cannot be applied", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, {}), start);
+    directory.apply(whole(9, {}), start);
     CHECK_FALSE(directory.canApply(delta(10, 12, {})));
     CHECK(directory.canApply(delta(9, 12, {})));
     CHECK(directory.canApply(delta(5, 12, {})));
@@ -93,8 +93,8 @@
 TEST_CASE("an upstream that is absent from a whole update is removed", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
-    const auto changes = directory.take(whole(12, { record(1, "live", "a", 3) }), start);
+    directory.apply(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
+    const auto changes = directory.apply(whole(12, { record(1, "live", "a", 3) }), start);
     CHECK(changes.removed.size() == 1);
     CHECK(directory.listedCount() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 1);
@@ -106,28 +106,28 @@
 TEST_CASE("a draining upstream gets no new flows and is reported as leaving once", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3) }), start);
+    directory.apply(whole(9, { record(1, "live", "a", 3) }), start);
     auto draining = record(1, "live", "a", 11);
     draining.upstream.state = UpstreamState::Draining;
-    CHECK(directory.take(delta(9, 11, { draining }), start).leaving.size() == 1);
+    CHECK(directory.apply(delta(9, 11, { draining }), start).leaving.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.empty());
     draining.changed = { 13 };
-    CHECK(directory.take(delta(11, 13, { draining }), start).leaving.empty());
+    CHECK(directory.apply(delta(11, 13, { draining }), start).leaving.empty());
 }
 
 TEST_CASE("a deferred removal takes effect only if the upstream does not register again in time",
           "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
+    directory.apply(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
     auto update = delta(9, 12, {});
     update.removed = { { InstanceId(1), { 10 } }, { InstanceId(2), { 11 } } };
-    update.settlesIn = 2s;
-    const auto changes = directory.take(update, start);
+    update.removalsDeferredFor = 2s;
+    const auto changes = directory.apply(update, start);
     CHECK(changes.missing.size() == 2);
     CHECK(changes.removed.empty());
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 2);
-    directory.take(delta(12, 13, { record(1, "live", "a", 13) }), start + 1s);
+    directory.apply(delta(12, 13, { record(1, "live", "a", 13) }), start + 1s);
     CHECK(directory.processRemovals(start + 1900ms).removed.empty());
     const auto settled = directory.processRemovals(start + 2s);
     REQUIRE(settled.removed.size() == 1);
@@ -139,21 +139,21 @@
 TEST_CASE("an evacuated zone's upstreams are in no pool until the evacuation ends", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "b", 4),
-                              record(3, "live", "b", 5) }),
-                   start);
+    directory.apply(whole(9, { record(1, "live", "a", 3), record(2, "live", "b", 4),
+                               record(3, "live", "b", 5) }),
+                    start);
     directory.at(directory.indexOf(*directory.byCookie(Cookie::of(InstanceId(3)))))
             .evidence.silentSince = start;
     auto update = delta(9, 11, {});
     update.evacuations = { evacuation("b", 11) };
-    CHECK(directory.take(update, start).evacuations.size() == 1);
+    CHECK(directory.apply(update, start).evacuations.size() == 1);
     const auto &pool = directory.poolOf(ServiceId::ofName("live"));
     CHECK(pool.near.size() == 1);
     CHECK(pool.far.empty());
     CHECK(pool.silent.empty());
     auto ended = delta(11, 12, {});
     ended.evacuations = { evacuation("b", 12, false) };
-    CHECK(directory.take(ended, start).evacuations.size() == 1);
+    CHECK(directory.apply(ended, start).evacuations.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).far.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).silent.size() == 1);
 }
@@ -161,14 +161,14 @@
 TEST_CASE("an older evacuation order does not replace a newer one", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "b", 3) }), start);
+    directory.apply(whole(9, { record(1, "live", "b", 3) }), start);
     auto ended = delta(9, 14, {});
     ended.evacuations = { evacuation("b", 14, false) };
-    directory.take(ended, start);
+    directory.apply(ended, start);
     // Another host's update may have a newer directory revision but an older order.
     auto stale = delta(9, 15, {});
     stale.evacuations = { evacuation("b", 11) };
-    CHECK(directory.take(stale, start).evacuations.empty());
+    CHECK(directory.apply(stale, start).evacuations.empty());
     CHECK_FALSE(directory.evacuations().isEvacuated(ZoneId::ofName("b")));
 }
 
@@ -177,11 +177,11 @@
     Directory directory(ZoneId::ofName("a"));
     auto update = whole(9, { record(1, "live", "b", 3) });
     update.evacuations = { evacuation("b", 8), evacuation("c", 7) };
-    directory.take(update, start);
+    directory.apply(update, start);
     CHECK(directory.evacuations().evacuatedCount() == 2);
     auto again = whole(12, { record(1, "live", "b", 3) });
     again.evacuations = { evacuation("c", 7) };
-    const auto changes = directory.take(again, start);
+    const auto changes = directory.apply(again, start);
     REQUIRE(changes.evacuations.size() == 1);
     CHECK(changes.evacuations.front().zoneName == "b");
     CHECK_FALSE(changes.evacuations.front().inForce);
@@ -193,13 +193,13 @@
           "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "b", 3) }), start);
+    directory.apply(whole(9, { record(1, "live", "b", 3) }), start);
     auto update = delta(9, 12, {});
     update.evacuations = { evacuation("b", 11), evacuation("c", 12) };
-    directory.take(update, start);
+    directory.apply(update, start);
     auto ended = delta(12, 13, {});
     ended.evacuations = { evacuation("c", 13, false) };
-    directory.take(ended, start);
+    directory.apply(ended, start);
     CHECK(directory.updateSince({ 9 }, start).evacuations.size() == 2);
     CHECK(directory.updateSince({ 12 }, start).evacuations.size() == 1);
     CHECK(directory.updateSince({ 13 }, start).evacuations.empty());
@@ -212,13 +212,13 @@
           "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "b", 3) }), start);
+    directory.apply(whole(9, { record(1, "live", "b", 3) }), start);
     auto update = delta(9, 20000, {});
     for (std::uint64_t i = 0; i < 10000; ++i) {
         update.evacuations.push_back(evacuation("nowhere-" + std::to_string(i), 10 + i));
     }
     update.evacuations.push_back(evacuation("b", 15000));
-    directory.take(update, start);
+    directory.apply(update, start);
     CHECK(directory.evacuations().isEvacuated(ZoneId::ofName("b")));
     CHECK(directory.evacuations().all().size() < 1000);
     CHECK(directory.poolOf(ServiceId::ofName("live")).far.empty());
@@ -227,11 +227,11 @@
 TEST_CASE("a tombstone is deleted after its time, and its slot is reused", "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3) }), start);
-    directory.take(whole(12, {}), start);
+    directory.apply(whole(9, { record(1, "live", "a", 3) }), start);
+    directory.apply(whole(12, {}), start);
     directory.processRemovals(start + config::tombstoneTime);
     CHECK(directory.byCookie(Cookie::of(InstanceId(1))) == nullptr);
-    directory.take(delta(12, 14, { record(7, "live", "a", 13) }), start + 100s);
+    directory.apply(delta(12, 14, { record(7, "live", "a", 13) }), start + 100s);
     CHECK(directory.entries().size() == 1);
     // A host whose revision is older than the deleted tombstone gets the whole directory.
     CHECK(directory.updateSince({ 10 }, start).isWhole());
@@ -246,7 +246,7 @@
     std::mt19937_64 random(7);
     std::vector<DirectoryUpdate> all;
     Directory expected(ZoneId::ofName("a"));
-    expected.take(whole(1, {}), start);
+    expected.apply(whole(1, {}), start);
     for (std::uint64_t step = 2; step <= steps; ++step) {
         auto update = delta(step - 1, step, {});
         const auto instance = 1 + random() % 6;
@@ -257,12 +257,12 @@
             update.present[0].upstream.state =
                     random() % 2 == 0 ? UpstreamState::Active : UpstreamState::Draining;
         }
-        expected.take(update, start);
+        expected.apply(update, start);
         all.push_back(update);
     }
     for (int round = 0; round < rounds; ++round) {
         Directory directory(ZoneId::ofName("a"));
-        directory.take(whole(1, {}), start);
+        directory.apply(whole(1, {}), start);
         Revision last = directory.revision();
         while (directory.revision().number < steps) {
             const auto begin = random() % all.size();
@@ -270,14 +270,14 @@
             DirectoryUpdate merged;
             merged.after = all[begin].after;
             Directory source(ZoneId::ofName("a"));
-            source.take(whole(1, {}), start);
+            source.apply(whole(1, {}), start);
             for (std::size_t i = 0; i < end; ++i) {
-                source.take(all[i], start);
+                source.apply(all[i], start);
             }
             merged = source.updateSince(all[begin].after, start);
             if (directory.canApply(merged)) {
-                directory.take(merged, start);
-                directory.take(merged, start);
+                directory.apply(merged, start);
+                directory.apply(merged, start);
             }
             REQUIRE_FALSE(directory.revision() < last);
             last = directory.revision();
@@ -294,20 +294,20 @@
     const auto younger = record(0x0000000200000001, "live", "a", 5);
     REQUIRE(Cookie::of(older.upstream.instance) == Cookie::of(younger.upstream.instance));
     Directory one(ZoneId::ofName("a"));
-    one.take(whole(4, { older }), start);
-    const auto changes = one.take(delta(4, 6, { younger }), start);
+    one.apply(whole(4, { older }), start);
+    const auto changes = one.apply(delta(4, 6, { younger }), start);
     CHECK(changes.sharedCookie.size() == 1);
     Directory other(ZoneId::ofName("a"));
-    other.take(whole(6, { younger, older }), start);
+    other.apply(whole(6, { younger, older }), start);
     for (auto *directory : { &one, &other }) {
         const auto *owner = directory->byCookie(Cookie::of(older.upstream.instance));
         REQUIRE(owner != nullptr);
         CHECK(owner->record.upstream.instance == older.upstream.instance);
         CHECK(directory->poolOf(ServiceId::ofName("live")).near.size() == 1);
     }
-    one.take(whole(9, { younger }), start);
+    one.apply(whole(9, { younger }), start);
     one.processRemovals(start + config::tombstoneTime);
-    one.touchPools();
+    one.invalidatePools();
     CHECK(one.byCookie(Cookie::of(younger.upstream.instance)) != nullptr);
     CHECK(one.poolOf(ServiceId::ofName("live")).near.size() == 1);
 }
@@ -317,18 +317,18 @@
     Directory directory(ZoneId::ofName("a"));
     auto first = whole(5, {});
     first.rows = packetRows(5, { packetRow("feed", feedAddress, "live") });
-    CHECK(directory.take(first, start).rowsChanged);
+    CHECK(directory.apply(first, start).rowsChanged);
     auto second = delta(5, 7, {});
     second.rows = packetRows(7, { packetRow("feed", feedAddress, "other") });
-    CHECK(directory.take(second, start).rowsChanged);
+    CHECK(directory.apply(second, start).rowsChanged);
     auto stale = delta(5, 9, {});
     stale.rows = packetRows(5, { packetRow("feed", feedAddress, "live") });
-    CHECK_FALSE(directory.take(stale, start).rowsChanged);
+    CHECK_FALSE(directory.apply(stale, start).rowsChanged);
     const auto *row = directory.rowAt(feedAddress);
     REQUIRE(row != nullptr);
     CHECK(row->row->shares[0].serviceName == "other");
     // The row keeps its former service: flows that were opened there stay there.
-    CHECK(row->had.size() == 2);
+    CHECK(row->servicesEverHad.size() == 2);
     CHECK(directory.rowAt(papersAddress) == nullptr);
 }
 
@@ -336,51 +336,51 @@
 {
     Directory directory(ZoneId::ofName("a"));
     auto first = record(1, "live", "a", 3);
-    first.upstream.born = WallTime(1000s);
-    directory.take(whole(9, { first }), start);
+    first.upstream.startedAt = WallTime(1000s);
+    directory.apply(whole(9, { first }), start);
     auto &entry = directory.at(0);
     entry.evidence.silentSince = MonoTime(std::chrono::seconds(1));
     entry.evidence.unanswered = 7;
-    entry.evidence.heard = start;
+    entry.evidence.lastHeardAt = start;
     directory.beginRequest(entry);
-    directory.touchPools();
+    directory.invalidatePools();
     REQUIRE(directory.poolOf(ServiceId::ofName("live")).silent.size() == 1);
 
     auto second = record(1, "live", "a", 11);
     second.created = first.created;
-    second.upstream.born = WallTime(1005s);
+    second.upstream.startedAt = WallTime(1005s);
     second.upstream.warmup = 2s;
-    const auto changes = directory.take(delta(9, 11, { second }), start + 5s);
+    const auto changes = directory.apply(delta(9, 11, { second }), start + 5s);
     REQUIRE(changes.restarted.size() == 1);
     CHECK(changes.listed.empty());
-    CHECK(entry.evidence.busy == 0);
+    CHECK(entry.evidence.pending == 0);
     CHECK(entry.evidence.unanswered == 0);
-    CHECK(entry.evidence.heard == MonoTime());
+    CHECK(entry.evidence.lastHeardAt == MonoTime());
     CHECK(entry.warmAt == start + 7s);
     const auto &pool = directory.poolOf(ServiceId::ofName("live"));
     CHECK(pool.near.size() == 1);
     CHECK(pool.nearBusy == 0);
     // Late updates, one with the record of the first start and a whole one, cause no restart.
-    CHECK(directory.take(delta(9, 12, { first }), start + 6s).restarted.empty());
-    CHECK(directory.take(whole(13, { second, record(2, "live", "a", 12) }), start + 6s)
+    CHECK(directory.apply(delta(9, 12, { first }), start + 6s).restarted.empty());
+    CHECK(directory.apply(whole(13, { second, record(2, "live", "a", 12) }), start + 6s)
                   .restarted.empty());
-    CHECK(entry.record.upstream.born == WallTime(1005s));
-    CHECK(entry.life == 1);
+    CHECK(entry.record.upstream.startedAt == WallTime(1005s));
+    CHECK(entry.restarts == 1);
 }
 
 TEST_CASE("a start after the removal of the entry also counts as a restart", "[directory][born]")
 {
     Directory directory(ZoneId::ofName("a"));
     auto first = record(1, "live", "a", 3);
-    first.upstream.born = WallTime(1000s);
-    directory.take(whole(9, { first }), start);
+    first.upstream.startedAt = WallTime(1000s);
+    directory.apply(whole(9, { first }), start);
     auto gone = delta(9, 10, {});
     gone.removed = { { InstanceId(1), { 10 } } };
-    directory.take(gone, start + 1s);
+    directory.apply(gone, start + 1s);
     REQUIRE(directory.at(0).presence == Presence::Removed);
     auto second = record(1, "papers", "a", 11);
-    second.upstream.born = WallTime(1005s);
-    const auto changes = directory.take(delta(10, 11, { second }), start + 2s);
+    second.upstream.startedAt = WallTime(1005s);
+    const auto changes = directory.apply(delta(10, 11, { second }), start + 2s);
     CHECK(changes.restarted.size() == 1);
     CHECK(changes.listed.size() == 1);
     // After a restart, an instance may belong to another service.
@@ -391,22 +391,22 @@
 TEST_CASE("a record without a start time does not count as a restart", "[directory][born]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3) }), start);
-    directory.at(0).evidence.heard = start;
+    directory.apply(whole(9, { record(1, "live", "a", 3) }), start);
+    directory.at(0).evidence.lastHeardAt = start;
     auto draining = record(1, "live", "a", 11);
     draining.upstream.state = UpstreamState::Draining;
-    CHECK(directory.take(delta(9, 11, { draining }), start).restarted.empty());
-    CHECK(directory.at(0).evidence.heard == start);
+    CHECK(directory.apply(delta(9, 11, { draining }), start).restarted.empty());
+    CHECK(directory.at(0).evidence.lastHeardAt == start);
 }
 
 TEST_CASE("an upstream with a faulty entry gets no new flows until a valid entry replaces it",
           "[directory][faulty]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
+    directory.apply(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
     auto update = delta(9, 11, {});
     update.faulty = { { InstanceId(1), { 11 } }, { InstanceId(77), { 10 } } };
-    CHECK(directory.take(update, start).faulty.size() == 1);
+    CHECK(directory.apply(update, start).faulty.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 1);
     // Its open flows continue, since it was not removed.
     REQUIRE(directory.byCookie(Cookie::of(InstanceId(1))) != nullptr);
@@ -414,18 +414,18 @@
     // The same fault in a whole update, which lacks the valid record.
     auto all = whole(12, { record(2, "live", "a", 4) });
     all.faulty = { { InstanceId(1), { 11 } } };
-    const auto changes = directory.take(all, start);
+    const auto changes = directory.apply(all, start);
     CHECK(changes.faulty.empty());
     CHECK(changes.removed.empty());
     // An update for a host without a directory contains both the record and its fault.
     Directory other(ZoneId::ofName("a"));
-    other.take(directory.updateSince({}, start), start);
+    other.apply(directory.updateSince({}, start), start);
     CHECK(other.poolOf(ServiceId::ofName("live")).near.size() == 1);
     CHECK(other.byCookie(Cookie::of(InstanceId(1))) != nullptr);
     // A late record from before the fault changes nothing; the next valid record does.
-    directory.take(delta(9, 13, { record(1, "live", "a", 3) }), start);
+    directory.apply(delta(9, 13, { record(1, "live", "a", 3) }), start);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 1);
-    directory.take(delta(13, 14, { record(1, "live", "a", 14) }), start);
+    directory.apply(delta(13, 14, { record(1, "live", "a", 14) }), start);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 2);
 }
 
@@ -433,13 +433,13 @@
           "[directory][faulty]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
+    directory.apply(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
     // Without a restart an upstream changes neither its service nor its name.
-    CHECK(directory.take(delta(9, 11, { record(1, "nowhere", "a", 11) }), start).faulty.size()
+    CHECK(directory.apply(delta(9, 11, { record(1, "nowhere", "a", 11) }), start).faulty.size()
           == 1);
     auto conflicting = record(2, "live", "a", 12);
     conflicting.upstream.name = "other-2";
-    CHECK(directory.take(delta(11, 12, { conflicting }), start).faulty.size() == 1);
+    CHECK(directory.apply(delta(11, 12, { conflicting }), start).faulty.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.empty());
     CHECK(directory.byCookie(Cookie::of(InstanceId(1)))->record.upstream.serviceName == "live");
 }
@@ -450,33 +450,33 @@
           "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
-    directory.at(0).evidence.heard = start;
+    directory.apply(whole(9, { record(1, "live", "a", 3), record(2, "live", "a", 4) }), start);
+    directory.at(0).evidence.lastHeardAt = start;
     auto update = delta(9, 12, {});
     update.removed = { { InstanceId(1), { 10 } }, { InstanceId(2), { 11 } } };
-    const auto changes = directory.take(update, start + 100ms);
+    const auto changes = directory.apply(update, start + 100ms);
     CHECK(changes.missing.size() == 1);
     CHECK(changes.removed.size() == 1);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.empty());
     // It answers for another 3 s.
-    directory.at(0).evidence.heard = start + 3s;
+    directory.at(0).evidence.lastHeardAt = start + 3s;
     CHECK(directory.processRemovals(start + 100ms + config::reappearTime).removed.empty());
-    CHECK(directory.processRemovals(start + 3s + config::livingFor - 1ms).removed.empty());
+    CHECK(directory.processRemovals(start + 3s + config::signOfLifeValidity - 1ms).removed.empty());
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.empty());
-    CHECK(directory.processRemovals(start + 3s + config::livingFor).removed.size() == 1);
+    CHECK(directory.processRemovals(start + 3s + config::signOfLifeValidity).removed.size() == 1);
 }
 
 TEST_CASE("a removed upstream that still answers gets new flows again once it registers",
           "[directory]")
 {
     Directory directory(ZoneId::ofName("a"));
-    directory.take(whole(9, { record(1, "live", "a", 3) }), start);
-    directory.at(0).evidence.heard = start;
+    directory.apply(whole(9, { record(1, "live", "a", 3) }), start);
+    directory.at(0).evidence.lastHeardAt = start;
     auto update = delta(9, 10, {});
     update.removed = { { InstanceId(1), { 10 } } };
-    directory.take(update, start);
+    directory.apply(update, start);
     REQUIRE(directory.poolOf(ServiceId::ofName("live")).near.empty());
-    directory.take(delta(10, 11, { record(1, "live", "a", 11) }), start + 1s);
+    directory.apply(delta(10, 11, { record(1, "live", "a", 11) }), start + 1s);
     CHECK(directory.poolOf(ServiceId::ofName("live")).near.size() == 1);
     CHECK(directory.processRemovals(start + 10s).removed.empty());
 }
@@ -486,11 +486,11 @@
     Directory directory(ZoneId::ofName("a"));
     auto leaving = record(1, "live", "a", 3);
     leaving.upstream.state = UpstreamState::Draining;
-    directory.take(whole(9, { leaving }), start);
-    directory.at(0).evidence.heard = start;
+    directory.apply(whole(9, { leaving }), start);
+    directory.at(0).evidence.lastHeardAt = start;
     auto update = delta(9, 10, {});
     update.removed = { { InstanceId(1), { 10 } } };
-    CHECK(directory.take(update, start).removed.size() == 1);
+    CHECK(directory.apply(update, start).removed.size() == 1);
 }
 
 } // namespace flamingograde
--- a/tests/unit/emulationtest.cpp
+++ b/tests/unit/emulationtest.cpp
@@ -67,7 +67,7 @@
 
 auto setStoreMode(Emulation &emulation, std::size_t host, StoreMode mode) -> void
 {
-    emulation.store().turnedAway[emulation.host(host).name()] = mode;
+    emulation.store().modeByHost[emulation.host(host).name()] = mode;
 }
 
 /// Publishes rows. @returns the time until all hosts have them; nothing if it exceeds 10 s.
--- a/tests/unit/flowtest.cpp
+++ b/tests/unit/flowtest.cpp
@@ -53,8 +53,8 @@
         REQUIRE(fleet.feeds.count(id) == 1);
         flows[flow] = { fleet.result(id).token, fleet.feeds.at(id).upstream };
     }
-    fleet.blind = { 0, 3 };
-    fleet.mute = { 0, 3 }; // These two hosts keep the old table and signing key.
+    fleet.hostsWithoutPlatform = { 0, 3 };
+    fleet.isolatedHosts = { 0, 3 }; // These two hosts keep the old table and signing key.
     fleet.publish(editedTable());
     fleet.advance(200ms);
     REQUIRE(fleet.host(0).stats().revision == 1);
@@ -67,7 +67,7 @@
             REQUIRE(fleet.feeds.count(id) == 1);
             CHECK(fleet.feeds.at(id).upstream == known.second);
             CHECK(fleet.feeds.at(id).service == "packs");
-            fleet.give(host, CallerLeft { id });
+            fleet.deliver(host, CallerLeft { id });
         }
     }
     const auto newer =
@@ -188,8 +188,8 @@
     std::size_t headed = 0;
     for (int i = 0; i < 20; ++i) {
         const auto id = feedAt(fleet, 0, {});
-        headed += fleet.result(id).headed ? 1 : 0;
-        CHECK((fleet.result(id).headed || fleet.result(id).refusal));
+        headed += fleet.result(id).gotHead ? 1 : 0;
+        CHECK((fleet.result(id).gotHead || fleet.result(id).refusal));
     }
     CHECK(headed > 10);
 }
--- a/tests/unit/handovertest.cpp
+++ b/tests/unit/handovertest.cpp
@@ -57,7 +57,7 @@
     auto beginStop(std::size_t host) -> void
     {
         this->avoided.insert(host);
-        this->fleet.give(host, StopRequested {});
+        this->fleet.deliver(host, StopRequested {});
     }
     /// Sends votes until `host` has stopped.
     auto finishStop(std::size_t host) -> void
@@ -311,7 +311,7 @@
         for (const auto *name : { "a1", "a2", "a3" }) {
             this->fleet.add(name, "a");
         }
-        REQUIRE(this->fleet.runUntil([&] { return this->fleet.isHomed(); }, 6s));
+        REQUIRE(this->fleet.runUntil([&] { return this->fleet.hasOneHomePerZone(); }, 6s));
         this->fleet.run(1s);
         this->claimant = HostId::ofName(this->fleet.homes("a").front());
         const auto *name = this->fleet.homes("a").front() == "a1" ? "a2" : "a1";
--- a/tests/unit/keymovetest.cpp
+++ b/tests/unit/keymovetest.cpp
@@ -218,7 +218,7 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         INFO("seed " << seed);
         VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
-        traffic.fleet.tellsPublished = false;
+        traffic.fleet.reportsPublishTime = false;
         traffic.warmUp();
         traffic.voteFor(2s);
         traffic.fleet.publish(zonesTableText({ 1, 4, 6 }, { 3, 0, 0 }));
@@ -257,8 +257,8 @@
         INFO("seed " << seed);
         VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
         traffic.warmUp();
-        traffic.fleet.split = { 0, 1 };
-        traffic.fleet.blind = { 0, 1 };
+        traffic.fleet.partitionedHosts = { 0, 1 };
+        traffic.fleet.hostsWithoutPlatform = { 0, 1 };
         traffic.voteFor(1s);
         traffic.fleet.publish(zonesTableText({ 1, 4, 4 }, { 3, 0, 0 }));
         traffic.voteFor(20s);
@@ -269,8 +269,8 @@
         const auto &runs = traffic.fleet.runs;
         const auto firstAfterEdit = runs.begin() + static_cast<std::ptrdiff_t>(before);
         CHECK(std::count_if(firstAfterEdit, runs.end(), isInSplitZone) > 100);
-        traffic.fleet.split.clear();
-        traffic.fleet.blind.clear();
+        traffic.fleet.partitionedHosts.clear();
+        traffic.fleet.hostsWithoutPlatform.clear();
         traffic.voteFor(10s);
         CHECK(traffic.countResults().doubleRuns == 0);
     }
@@ -282,15 +282,15 @@
         INFO("seed " << seed);
         VoteTraffic traffic(seed, zonesTableText({ 4, 4, 4 }));
         traffic.warmUp();
-        traffic.fleet.mute = { 0 };
-        traffic.fleet.blind = { 0 };
+        traffic.fleet.isolatedHosts = { 0 };
+        traffic.fleet.hostsWithoutPlatform = { 0 };
         traffic.voteFor(1s);
         traffic.fleet.publish(zonesTableText({ 1, 4, 4 }, { 3, 0, 0 }));
         traffic.voteFor(20s);
         traffic.fleet.publish(zonesTableText({ 4, 1, 4 }, { 0, 3, 0 }));
         traffic.voteFor(20s);
-        traffic.fleet.mute.clear();
-        traffic.fleet.blind.clear();
+        traffic.fleet.isolatedHosts.clear();
+        traffic.fleet.hostsWithoutPlatform.clear();
         traffic.voteFor(10s);
         CHECK(traffic.countResults().doubleRuns == 0);
     }
--- a/tests/unit/keytest.cpp
+++ b/tests/unit/keytest.cpp
@@ -156,7 +156,7 @@
     const auto early = home.arrive(home.row, home.keyBorn(-2s));
     CHECK(home.isRefused(early, RefusalReason::BadKey, Verdict::NotRun));
     const auto id = home.add(home.row, home.keyBorn(2100ms));
-    home.board.exchanges.find(id)->ownKey = true;
+    home.board.exchanges.find(id)->hasGeneratedKey = true;
     home.board.toAdmit.push_back(id);
     home.run(Tick {});
     CHECK(home.isSent(id));
@@ -392,24 +392,25 @@
         return knownFromNow(home.board, home.cell, known).since;
     };
     CHECK(reportedSince(atBegin) == now - 1h);
-    CHECK(knownFromNow(home.board, home.cell, atBegin).tables == home.board.config.revision);
+    CHECK(knownFromNow(home.board, home.cell, atBegin).coveredRevision
+          == home.board.config.revision);
     const auto zones = activeZones(home.board.table());
     auto &placements = home.board.config.placements;
     placements = PlacementHistory(home.board.init.clockBound);
     placements.merge({ { { 5 }, now - 3s, zones, {} } }, now);
-    CHECK(reportedSince(atBegin) == PlacementHistory::never);
-    placements.agree(now - 2s);
+    CHECK(reportedSince(atBegin) == PlacementHistory::unknownSince);
+    placements.markAgreed(now - 2s);
     // Placements before the oldest table known here may differ, unless the former home knew them.
     CHECK(reportedSince(atBegin) == now - 2s);
     CHECK(reportedSince({ now - 1h, { 4 } }) == now - 2s);
     CHECK(reportedSince({ now - 1h, { 5 } }) == now - 1h);
     placements.merge({ { { 6 }, now - 1s, zones, {} } }, now);
-    placements.agree(now - 1s);
+    placements.markAgreed(now - 1s);
     CHECK(reportedSince({ now - 1h, { 5 } }) == now - 1h); // Table 6 moves no key.
     auto other = zones;
     other.front().slots = 7;
     placements.merge({ { { 7 }, now - 600ms, other, {} } }, now);
-    CHECK(reportedSince({ now - 1h, { 7 } }) == PlacementHistory::never);
-    placements.agree(now - 500ms);
+    CHECK(reportedSince({ now - 1h, { 7 } }) == PlacementHistory::unknownSince);
+    placements.markAgreed(now - 500ms);
     CHECK(reportedSince({ now - 1h, { 7 } }) == now - 500ms);
 }
--- a/tests/unit/listexchangetest.cpp
+++ b/tests/unit/listexchangetest.cpp
@@ -30,7 +30,7 @@
         for (const auto &other : { sampleMember("near", "a"), sampleMember("far", "b") }) {
             auto &record = addMember(this->board, other);
             record.connected = true;
-            record.isNew = true;
+            record.viewsNotCompared = true;
         }
     }
 
@@ -53,7 +53,7 @@
 
     auto markAsNew(const std::string &name) -> void
     {
-        this->board.membership.record(HostId::ofName(name))->isNew = true;
+        this->board.membership.record(HostId::ofName(name))->viewsNotCompared = true;
     }
 
     Blackboard board { Init {} };
@@ -86,14 +86,14 @@
     ListExchangeHost host;
     host.receive("far", true);
     CHECK(host.receive("far", false) == 0);
-    host.advance(config::viewsDiffer - 1ms);
+    host.advance(config::viewDifferenceTimeout - 1ms);
     CHECK(host.receive("far", false) == 0);
     host.advance(1ms);
     CHECK(host.receive("far", false) == 3);
     CHECK(host.receive("far", false) == 0);
     host.advance(1s);
     host.receive("far", true);
-    host.advance(config::viewsDiffer);
+    host.advance(config::viewDifferenceTimeout);
     CHECK(host.receive("far", false)
           == 0); // The views were equal in between, so the time starts again.
 }
@@ -111,7 +111,7 @@
         host.markAsNew("near");
     }
     CHECK(lists >= 1);
-    CHECK(lists * 400 * 60 <= config::listBytesAtOnce);
+    CHECK(lists * 400 * 60 <= config::listBytesBurst);
     host.markAsNew("near");
     CHECK(host.receive("near", false) == 2); // The two members of zone "a".
     CHECK(host.receive("far", false) == 0);
--- a/tests/unit/messagecodectest.cpp
+++ b/tests/unit/messagecodectest.cpp
@@ -46,7 +46,7 @@
     gossip.directory = { 77 };
     gossip.members = ~0U;
     gossip.readsFail = true;
-    gossip.linkUse = LinkUse::Feed;
+    gossip.linkUse = LinkUse::Changes;
     return gossip;
 }
 
@@ -84,10 +84,10 @@
     update.present[0].upstream.state = UpstreamState::Draining;
     update.present[0].upstream.warmup = std::chrono::milliseconds(1500);
     update.present[0].upstream.version = "v2";
-    update.present[1].upstream.born = WallTime(std::chrono::milliseconds(1764700000123));
+    update.present[1].upstream.startedAt = WallTime(std::chrono::milliseconds(1764700000123));
     update.removed = { { InstanceId(9), { 43 } } };
     update.faulty = { { InstanceId(~0ULL), { 45 } } };
-    update.settlesIn = std::chrono::milliseconds(2200);
+    update.removalsDeferredFor = std::chrono::milliseconds(2200);
     update.evacuations = {
         { ZoneId::ofName("auckland-2"), "auckland-2", { 44 }, true },
         { ZoneId::ofName("auckland-1"), "auckland-1", { 45 }, false },
@@ -156,7 +156,7 @@
     CHECK(gossip.directory.number == 77);
     CHECK(gossip.members == ~0U);
     CHECK(gossip.readsFail);
-    CHECK(gossip.linkUse == LinkUse::Feed);
+    CHECK(gossip.linkUse == LinkUse::Changes);
 
     const auto grant = decode(
             encode(ClaimGrant { 5, { CellId(1) }, { CellId(2), CellId(3) }, { CellId(2) } }));
@@ -186,7 +186,7 @@
     const auto &update = std::get<DirectoryUpdate>(*decoded);
     CHECK(update.after == sent.after);
     CHECK(update.upTo == sent.upTo);
-    CHECK(update.settlesIn == sent.settlesIn);
+    CHECK(update.removalsDeferredFor == sent.removalsDeferredFor);
     REQUIRE(update.present.size() == 2);
     const auto &upstream = update.present[0].upstream;
     CHECK(upstream.instance == InstanceId(0x3aaee8c3fa));
@@ -198,8 +198,8 @@
     CHECK(upstream.warmup == sent.present[0].upstream.warmup);
     CHECK(upstream.version == "v2");
     CHECK(update.present[1].created.number == 42);
-    CHECK(upstream.born == WallTime());
-    CHECK(update.present[1].upstream.born == sent.present[1].upstream.born);
+    CHECK(upstream.startedAt == WallTime());
+    CHECK(update.present[1].upstream.startedAt == sent.present[1].upstream.startedAt);
     REQUIRE(update.faulty.size() == 1);
     CHECK(update.faulty[0].instance == InstanceId(~0ULL));
     CHECK(update.faulty[0].at == Revision { 45 });
@@ -225,7 +225,7 @@
     const auto &knowledge = grant.knowledge.front();
     CHECK(knowledge.cell == sent.knowledge.front().cell);
     CHECK(knowledge.knownSinceUs == sent.knowledge.front().knownSinceUs);
-    CHECK(knowledge.tables.number == 12);
+    CHECK(knowledge.coveredRevision.number == 12);
     REQUIRE(knowledge.keys.size() == 3);
     for (std::size_t i = 0; i < 3; ++i) {
         CHECK(knowledge.keys[i].hash == sent.knowledge.front().keys[i].hash);
@@ -362,7 +362,7 @@
     REQUIRE(decoded);
     const auto &update = std::get<DirectoryUpdate>(*decoded);
     CHECK(update.present.size() == 2);
-    CHECK(update.present[1].upstream.born == WallTime());
+    CHECK(update.present[1].upstream.startedAt == WallTime());
     CHECK(update.faulty.empty());
     // The number of start times must match the number of upstreams.
     map["b"] = { 1 };
--- a/tests/unit/outcometest.cpp
+++ b/tests/unit/outcometest.cpp
@@ -107,7 +107,7 @@
     const auto key = fleet.newKey();
     const auto first = fleet.call(0, voteAddress, {}, key);
     fleet.advance(50ms);
-    fleet.give(0, CallerLeft { first });
+    fleet.deliver(0, CallerLeft { first });
     const auto second = fleet.call(0, voteAddress, {}, key);
     fleet.advance(1s);
     CHECK(fleet.result(second).replayed);
@@ -119,8 +119,8 @@
 {
     VirtualFleet fleet({ { "a1", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
-    fleet.mute = { 1 };
-    fleet.give(0, PeerDown { HostId::ofName("b1"), PeerLoss::Closed });
+    fleet.isolatedHosts = { 1 };
+    fleet.deliver(0, PeerDown { HostId::ofName("b1"), PeerLoss::Closed });
     const auto relayed = fleet.host(0).stats().relayed;
     const auto vote = fleet.call(0, voteAddress, {}, "b." + fleet.newKey());
     const auto read = fleet.call(0, readAddress);
@@ -168,7 +168,7 @@
     auto fleet = oneHostFleet();
     const auto refusalReasonFor = [&](CallerArrived arrived) {
         arrived.exchange = ExchangeId(1'000'000 + fleet.host(0).stats().callersArrived);
-        fleet.give(0, arrived);
+        fleet.deliver(0, arrived);
         const auto result = fleet.result(arrived.exchange);
         REQUIRE(result.refusal);
         CHECK(result.refusal->verdict == Verdict::NotRun);
--- a/tests/unit/overlayfleet.cpp
+++ b/tests/unit/overlayfleet.cpp
@@ -46,7 +46,7 @@
     auto init = emulator::hostSettings(zone, number);
     init.self.linkMbps = this->hostsOf(zone).size() < wideHosts ? wideMbps : narrowMbps;
     init.seed = this->seed * 1000 + number;
-    emulator::HostSurroundings surroundings;
+    emulator::HostCallbacks surroundings;
     surroundings.onLog = [this, number](const Log &log) {
         ++this->logs[log.event];
         ++this->lines[number];
@@ -63,7 +63,7 @@
 
 auto OverlayFleet::reviewConnections() -> void
 {
-    this->mesh.review();
+    this->mesh.closeCutConnections();
     this->clock.later(reviewPeriod, [this] { this->reviewConnections(); });
 }
 
--- a/tests/unit/overlaytest.cpp
+++ b/tests/unit/overlaytest.cpp
@@ -95,7 +95,7 @@
         CHECK(nameOf(hub) == "wide");
     }
     CHECK(links.wanted.size() == config::hubLinks);
-    CHECK(links.useOf(links.feed) == LinkUse::Feed);
+    CHECK(links.useOf(links.feed) == LinkUse::Changes);
 
     first.unanswered = true;
     links = chooseLinks(host.board);
@@ -212,7 +212,7 @@
         OverlayFleet fleet(1, zoneHosts);
         fleet.run(settleTime);
         for (std::size_t hub = 0; hub < config::hubsMin; ++hub) {
-            fleet.store.turnedAway[fleet.host(hub).name()] = mode;
+            fleet.store.modeByHost[fleet.host(hub).name()] = mode;
         }
         fleet.run(pause);
         const auto took = fleet.publishAndWait();
--- a/tests/unit/packetboard.h
+++ b/tests/unit/packetboard.h
@@ -83,12 +83,12 @@
         // The first packet starts the period in which unanswered openings do not count.
         this->board.now.mono += std::chrono::seconds(100);
         this->acknowledge(60000, Cookie::of(InstanceId(1)));
-        this->advance(config::distrustTime);
+        this->advance(config::evidenceHoldOff);
     }
 
     auto take(const DirectoryUpdate &update) -> void
     {
-        this->board.directory.take(update, this->board.now.mono);
+        this->board.directory.apply(update, this->board.now.mono);
     }
 
     /// Replaces the rows at revision 12. Precondition: the directory is at revision 10.
@@ -151,7 +151,7 @@
         head.service = service;
         head.caller = { 0x64400007, port };
         head.sequence = 1000;
-        head.copy = copy;
+        head.retransmissions = copy;
         head.flags.opens = true;
         return head;
     }
--- a/tests/unit/packetsteeringtest.cpp
+++ b/tests/unit/packetsteeringtest.cpp
@@ -81,7 +81,7 @@
         member.id = HostId::ofName(name);
         member.zone = ZoneId::ofName("a");
     }
-    membership.touch();
+    membership.invalidateLookups();
     membership.refresh();
     host.board.init.self.zone = ZoneId::ofName("a");
     // With three hosts, six requests of this one count as eighteen for the zone's six slots.
@@ -115,7 +115,7 @@
     const auto waiting = host.open(7);
     REQUIRE(waiting.verdict == PacketVerdict::Forward);
     host.entry(1).evidence.silentSince = host.board.now.mono;
-    host.board.directory.touchPools();
+    host.board.directory.invalidatePools();
     host.evacuate("a", 11);
     host.evacuate("b", 12);
     const auto refused = host.open(8);
@@ -226,7 +226,7 @@
     update.after = { 10 };
     update.upTo = { 11 };
     update.removed = { { InstanceId(2), { 11 } }, { InstanceId(3), { 11 } } };
-    update.settlesIn = 2s;
+    update.removalsDeferredFor = 2s;
     host.take(update);
     std::map<std::uint64_t, int> placed;
     for (std::uint16_t port = 1; port <= 15; ++port) {
@@ -243,7 +243,7 @@
     update.after = { 10 };
     update.upTo = { 11 };
     update.removed = { { InstanceId(5), { 11 } } };
-    update.settlesIn = 2s;
+    update.removalsDeferredFor = 2s;
     host.take(update);
     CHECK(host.acknowledge(8, Cookie::of(InstanceId(5)), papersAddress).verdict
           == PacketVerdict::Forward);
@@ -334,24 +334,24 @@
     const auto opened = host.open(7);
     const auto cookie = opened.targets[0].cookie;
     auto &entry = host.entry(instanceOf(opened));
-    CHECK(entry.evidence.busy == 1);
+    CHECK(entry.evidence.pending == 1);
     auto request = PacketBoard::following(7, cookie, feedAddress);
     request.dataBytes = 300;
     host.steer(request);
-    CHECK(entry.evidence.busy == 1);
+    CHECK(entry.evidence.pending == 1);
     request.sequence += 300;
     request.dataBytes = 0;
     request.acknowledged += 1000;
     host.advance(20ms);
     host.steer(request);
-    CHECK(entry.evidence.busy == 0);
+    CHECK(entry.evidence.pending == 0);
     CHECK(entry.evidence.response == 20ms);
     request.dataBytes = 300;
     host.steer(request);
-    CHECK(entry.evidence.busy == 1);
+    CHECK(entry.evidence.pending == 1);
     request.flags.finishes = true;
     host.steer(request);
-    CHECK(entry.evidence.busy == 0);
+    CHECK(entry.evidence.pending == 0);
     CHECK(host.board.packets.flows.used == 0);
 }
 
@@ -361,9 +361,9 @@
     PacketBoard host;
     const auto opened = host.open(7);
     auto &entry = host.entry(instanceOf(opened));
-    CHECK(entry.evidence.busy == 1);
-    host.advance(config::busyForget + 4s);
-    CHECK(entry.evidence.busy == 0);
+    CHECK(entry.evidence.pending == 1);
+    host.advance(config::requestExpiry + 4s);
+    CHECK(entry.evidence.pending == 0);
 }
 
 TEST_CASE("a full flow table replaces the oldest flow and stops counting its load", "[packets]")
@@ -377,7 +377,7 @@
     }
     std::uint32_t busy = 0;
     for (std::uint64_t instance = 1; instance <= 4; ++instance) {
-        busy += host.entry(instance).evidence.busy;
+        busy += host.entry(instance).evidence.pending;
     }
     CHECK(host.board.packets.flows.used <= 1024);
     CHECK(busy == host.board.packets.flows.used);
@@ -391,24 +391,24 @@
     auto request = PacketBoard::following(41, cookie, feedAddress);
     request.dataBytes = 300;
     host.steer(request);
-    REQUIRE(host.entry(2).evidence.busy == 1);
+    REQUIRE(host.entry(2).evidence.pending == 1);
     DirectoryUpdate update;
     update.after = { 10 };
     update.upTo = { 12 };
     update.present = { record(2, "live", "a", 12) };
-    update.present[0].upstream.born = WallTime(std::chrono::seconds(1005));
+    update.present[0].upstream.startedAt = WallTime(std::chrono::seconds(1005));
     host.take(update);
-    REQUIRE(host.entry(2).evidence.busy == 0);
+    REQUIRE(host.entry(2).evidence.pending == 0);
     auto other = PacketBoard::following(42, cookie, feedAddress);
     other.dataBytes = 300;
     host.steer(other);
-    CHECK(host.entry(2).evidence.busy == 1);
+    CHECK(host.entry(2).evidence.pending == 1);
     // Packets of the flow from before the restart are still forwarded, for the upstream to reset
     // it, but they neither end a request nor count as a sign of life.
     request.flags.finishes = true;
     CHECK(host.steer(request).verdict == PacketVerdict::Forward);
-    CHECK(host.entry(2).evidence.busy == 1);
-    CHECK(host.entry(2).evidence.heard == MonoTime());
+    CHECK(host.entry(2).evidence.pending == 1);
+    CHECK(host.entry(2).evidence.lastHeardAt == MonoTime());
 }
 
 TEST_CASE("a host that just started forwards flows of a service that their row no longer has",
--- a/tests/unit/pathtest.cpp
+++ b/tests/unit/pathtest.cpp
@@ -62,7 +62,7 @@
     fleet.settle();
     const auto id = fleet.call(0, feedAddress);
     fleet.advance(100ms);
-    REQUIRE(fleet.result(id).headed);
+    REQUIRE(fleet.result(id).gotHead);
     CHECK(fleet.result(id).token.size() == fleet.host(0).caps().tokenBytes);
     CHECK(fleet.feeds.at(id).service == "packs");
 }
--- a/tests/unit/peerfleet.cpp
+++ b/tests/unit/peerfleet.cpp
@@ -175,7 +175,7 @@
     return found;
 }
 
-auto PeerFleet::isHomed() const -> bool
+auto PeerFleet::hasOneHomePerZone() const -> bool
 {
     for (const auto &[name, node] : this->nodes) {
         if (node.running && !node.frozen && this->homes(node.init.self.zoneName).size() != 1) {
--- a/tests/unit/peerfleet.h
+++ b/tests/unit/peerfleet.h
@@ -68,7 +68,7 @@
     /// Returns the running hosts that are home of the cell of `zone`.
     [[nodiscard]] auto homes(const std::string &zone) const -> std::vector<std::string>;
     /// Returns whether the cell of each zone that has running hosts has exactly one home.
-    [[nodiscard]] auto isHomed() const -> bool;
+    [[nodiscard]] auto hasOneHomePerZone() const -> bool;
     /// Returns whether all running hosts have `revision`.
     [[nodiscard]] auto haveRevision(std::uint64_t revision) const -> bool;
     /// Returns the state of `of` in the view of `at`; dead if it is unknown there.
--- a/tests/unit/placementhistorytest.cpp
+++ b/tests/unit/placementhistorytest.cpp
@@ -55,18 +55,18 @@
 TEST_CASE("a key is placed by the newest table that is older than it by the placement delay")
 {
     PlacementHistory history(config::clockBound);
-    CHECK(placeOf(history, 0s).since == PlacementHistory::never);
+    CHECK(placeOf(history, 0s).since == PlacementHistory::unknownSince);
     history.merge({ mostlyIn(zoneA, 1, 0s) }, start);
     CHECK(placeOf(history, 0s).zone == zoneA);
-    CHECK(placeOf(history, 0s).since == PlacementHistory::never);
-    history.agree(start + 1s);
+    CHECK(placeOf(history, 0s).since == PlacementHistory::unknownSince);
+    history.markAgreed(start + 1s);
     history.merge({ mostlyIn(zoneB, 2, 20s) }, start + 20s);
     CHECK(placeOf(history, 20s + config::placementDelay - 1us).zone == zoneA);
     CHECK(placeOf(history, 25s).since == start + 1s);
     CHECK(placeOf(history, 20s + config::placementDelay).zone == zoneB);
-    CHECK(placeOf(history, 40s).since == PlacementHistory::never);
+    CHECK(placeOf(history, 40s).since == PlacementHistory::unknownSince);
     CHECK_FALSE(history.isAgreed());
-    history.agree(start + 23s);
+    history.markAgreed(start + 23s);
     CHECK(placeOf(history, 40s).since == start + 23s);
     // A key without a birth time is placed by the time of the query.
     CHECK(placeOf(history, {}, 25s).zone == zoneA);
@@ -78,7 +78,7 @@
 {
     PlacementHistory ours(config::clockBound);
     ours.merge({ mostlyIn(zoneA, 1, 0s), mostlyIn(zoneA, 3, 2s) }, start);
-    ours.agree(start + 3s);
+    ours.markAgreed(start + 3s);
     PlacementHistory theirs(config::clockBound);
     theirs.merge({ mostlyIn(zoneB, 2, 1s), mostlyIn(zoneA, 3, 5s) }, start);
     CHECK(ours.digest() != theirs.digest());
@@ -88,9 +88,9 @@
     REQUIRE(ours.entries().size() == 3);
     CHECK(ours.entries()[2].published == start + 2s);
     CHECK(placeOf(ours, 11s).zone == zoneB);
-    CHECK(placeOf(ours, 11s).since == PlacementHistory::never);
+    CHECK(placeOf(ours, 11s).since == PlacementHistory::unknownSince);
     CHECK(placeOf(ours, 12s).zone == zoneA);
-    CHECK(placeOf(ours, 12s).since == PlacementHistory::never);
+    CHECK(placeOf(ours, 12s).since == PlacementHistory::unknownSince);
     CHECK(placeOf(ours, 10s).since == start + 3s);
     // The other host's time of agreement is taken over where the predecessor is the same.
     CHECK(placeOf(theirs, 10s).since == start + 3s);
@@ -100,10 +100,10 @@
 {
     PlacementHistory known(config::clockBound);
     known.merge({ mostlyIn(zoneA, 1, 0s), mostlyIn(zoneB, 2, 20s) }, start + 20s);
-    known.agree(start + 22s);
+    known.markAgreed(start + 22s);
     PlacementHistory started(config::clockBound);
     started.merge({ mostlyIn(zoneB, 2, 20s) }, start + 25s);
-    CHECK(placeOf(started, 24s).since == PlacementHistory::never);
+    CHECK(placeOf(started, 24s).since == PlacementHistory::unknownSince);
     started.merge(known.entries(), start + 25s);
     CHECK(started.digest() == known.digest());
     CHECK(placeOf(started, 24s).zone == zoneA);
@@ -116,7 +116,7 @@
 {
     PlacementHistory history(config::clockBound);
     history.merge({ mostlyIn(zoneA, 1, 0s, 1s), mostlyIn(zoneB, 2, 20s) }, start);
-    history.agree(start + 22s);
+    history.markAgreed(start + 22s);
     const auto expiry = start + 20s + config::placementDelay + config::keyLifetime;
     history.expire(expiry);
     CHECK(history.entries().size() == 2);
@@ -145,17 +145,17 @@
 {
     PlacementHistory history(config::clockBound);
     history.merge({ onlyIn(zoneA, 1, 0s) }, start);
-    history.agree(start + 1s);
+    history.markAgreed(start + 1s);
     history.merge({ onlyIn(zoneB, 2, 20s) }, start + 20s);
     CHECK(placeOf(history, 24s).zone == zoneA);
-    history.agree(start + 22s);
+    history.markAgreed(start + 22s);
     CHECK(placeOf(history, 22s).zone == zoneA);
     CHECK(placeOf(history, 22s + config::clockBound + 1us).zone == zoneB);
     CHECK(placeOf(history, 24s).since == start + 22s);
     // After the zone is active again, its home cannot know whether the key was run elsewhere
     // meanwhile.
     history.merge({ onlyIn(zoneA, 3, 26s) }, start + 26s);
-    history.agree(start + 28s);
+    history.markAgreed(start + 28s);
     CHECK(placeOf(history, 24s).zone == zoneA);
-    CHECK(placeOf(history, 24s).since == PlacementHistory::never);
+    CHECK(placeOf(history, 24s).since == PlacementHistory::unknownSince);
 }
--- a/tests/unit/settingstests.cpp
+++ b/tests/unit/settingstests.cpp
@@ -44,8 +44,8 @@
 auto hasFinding(const Findings &findings, std::uint32_t line, const std::string &word) -> bool
 {
     return std::any_of(findings.begin(), findings.end(), [&](const Finding &finding) {
-        return finding.line == line && finding.what.find(word) != std::string::npos
-               && !finding.mend.empty() && finding.column > 0 && finding.file == "host.toml";
+        return finding.line == line && finding.message.find(word) != std::string::npos
+               && !finding.hint.empty() && finding.column > 0 && finding.file == "host.toml";
     });
 }
 
--- a/tests/unit/silencetest.cpp
+++ b/tests/unit/silencetest.cpp
@@ -402,7 +402,7 @@
     REQUIRE(scenario.run(true, true, true).verdict == PacketVerdict::Reset);
     // The upstream may answer again through another host; this one forwards none of its packets for
     // a while.
-    scenario.advance(config::lostFresh, true);
+    scenario.advance(config::lostRequestsFresh, true);
     CHECK(scenario.sendRequest(4).verdict == PacketVerdict::Forward);
 }
 
@@ -443,7 +443,7 @@
         scenario.sendRequest(port);
         scenario.advance(400ms, true);
         scenario.sendRequest(port);
-        scenario.advance(config::lostFresh, true);
+        scenario.advance(config::lostRequestsFresh, true);
     }
     CHECK(scenario.sendRequest(3).verdict == PacketVerdict::Forward);
 }
--- a/tests/unit/stoptest.cpp
+++ b/tests/unit/stoptest.cpp
@@ -19,7 +19,7 @@
         feeds.push_back(fleet.call(0, feedAddress));
     }
     fleet.advance(50ms);
-    fleet.give(0, StopRequested {});
+    fleet.deliver(0, StopRequested {});
     for (int i = 0; i < 10; ++i) {
         requests.push_back(
                 fleet.call(static_cast<std::size_t>(i % 3), voteAddress, {}, fleet.newKey()));
@@ -44,7 +44,7 @@
     fleet.settle();
     fleet.behaviour = [](UpstreamId) { return Behaviour::Hold; };
     const auto held = fleet.call(0, voteAddress, {}, fleet.newKey());
-    fleet.give(0, StopRequested {});
+    fleet.deliver(0, StopRequested {});
     fleet.advance(config::stopTimeout + 1s);
     REQUIRE(fleet.stopped.count(0) == 1);
     CHECK(fleet.stopped.at(0) == "1 requests");
@@ -57,8 +57,8 @@
 {
     VirtualFleet fleet({ { "a1", "a" }, { "a2", "a" }, { "b1", "b" } }, sampleTable());
     fleet.settle();
-    fleet.give(0, StopRequested {});
-    fleet.advance(config::leaveNotice + 100ms);
+    fleet.deliver(0, StopRequested {});
+    fleet.advance(config::stopNoticeTime + 100ms);
     fleet.serviceTime = 300ms;
     fleet.call(0, readAddress); // Keeps the stop from completing.
     const auto vote = fleet.call(0, voteAddress, {}, fleet.newKey());
@@ -97,7 +97,7 @@
     }
     std::size_t moved = 0;
     for (std::size_t host = 0; host < 4; ++host) {
-        fleet.give(host, StopRequested {});
+        fleet.deliver(host, StopRequested {});
         for (int step = 0; step < 100; ++step) {
             fleet.advance(50ms);
             for (auto &flow : flows) {
--- a/tests/unit/tableparsertest.cpp
+++ b/tests/unit/tableparsertest.cpp
@@ -101,9 +101,9 @@
 {
     std::string from;
     std::string to;
-    std::string mark; ///< The text at whose start the finding is located.
-    std::string what; ///< A part of the message.
-    std::string mend; ///< A part of the hint.
+    std::string mark;    ///< The text at whose start the finding is located.
+    std::string message; ///< A part of the message.
+    std::string hint;    ///< A part of the hint.
 };
 
 const std::vector<InvalidEdit> invalidEdits {
@@ -200,8 +200,8 @@
         const auto [line, column] = placeOf(text, edit.mark);
         CHECK(finding.line == line);
         CHECK(finding.column == column);
-        CHECK(finding.what.find(edit.what) != std::string::npos);
-        CHECK(finding.mend.find(edit.mend) != std::string::npos);
+        CHECK(finding.message.find(edit.message) != std::string::npos);
+        CHECK(finding.hint.find(edit.hint) != std::string::npos);
     }
 }
 
@@ -239,7 +239,7 @@
     REQUIRE_FALSE(table);
     REQUIRE(table.error().size() == 2);
     CHECK(table.error()[0].line == placeOf(text, "[[row").first);
-    CHECK(table.error()[1].what == "zone is not a text string");
+    CHECK(table.error()[1].message == "zone is not a text string");
 }
 
 TEST_CASE("section headers with single brackets are reported", "[table]")
@@ -251,8 +251,8 @@
     const auto table = parseTable(text, "bad.toml");
     REQUIRE_FALSE(table);
     REQUIRE(table.error().size() == 4);
-    CHECK(table.error()[0].mend == "begin each entry with [[row]]");
-    CHECK(table.error()[3].what.find("redefine") != std::string::npos);
+    CHECK(table.error()[0].hint == "begin each entry with [[row]]");
+    CHECK(table.error()[3].message.find("redefine") != std::string::npos);
 }
 
 TEST_CASE("a table that is empty, too large or without lists of entries is refused", "[table]")
@@ -279,7 +279,7 @@
     const auto table = parseTable(headers, "headers");
     REQUIRE_FALSE(table);
     CHECK(table.error().size() == config::findingsMax + 1);
-    CHECK(table.error().back().mend == "fix these first");
+    CHECK(table.error().back().hint == "fix these first");
     const auto broken = parseTable(std::string(config::tableBytesMax, '['), "broken");
     REQUIRE_FALSE(broken);
     const auto lines = parseTable(replaced(headers, "[[row]]", "x") + "=", "lines");
--- a/tests/unit/tenuretest.cpp
+++ b/tests/unit/tenuretest.cpp
@@ -19,11 +19,11 @@
             fleet.add(zone + std::to_string(i), zone);
         }
     }
-    const auto took = fleet.runUntil([&] { return fleet.isHomed(); }, 6s);
+    const auto took = fleet.runUntil([&] { return fleet.hasOneHomePerZone(); }, 6s);
     REQUIRE(took);
     INFO("every cell has a home after " << took->count() << " us");
     fleet.run(1s);
-    REQUIRE(fleet.isHomed());
+    REQUIRE(fleet.hasOneHomePerZone());
 }
 
 auto hostsOutside(const PeerFleet &fleet, const std::string &zone) -> std::set<std::string>
@@ -59,7 +59,7 @@
     fleet.start(home);
     REQUIRE(fleet.runUntil([&] { return fleet.homes("a") == std::vector { home }; }, 5s));
     fleet.run(5s);
-    CHECK(fleet.isHomed());
+    CHECK(fleet.hasOneHomePerZone());
     CHECK(fleet.faults.empty());
 }
 
@@ -88,7 +88,7 @@
     fleet.fault({ "a1", "a2" }, hostsOutside(fleet, "a"), kind);
     for (int i = 0; i < 100; ++i) {
         fleet.run(100ms);
-        REQUIRE(fleet.isHomed());
+        REQUIRE(fleet.hasOneHomePerZone());
     }
     CHECK(fleet.stateAt("a1", "b1") == MemberState::Dead);
     CHECK(fleet.stateAt("b1", "a1") == MemberState::Dead);
@@ -100,7 +100,7 @@
     fleet.platformDown.clear();
     fleet.start(home);
     fleet.run(6s);
-    CHECK(fleet.isHomed());
+    CHECK(fleet.hasOneHomePerZone());
     CHECK(fleet.stateAt("b1", "a1") == MemberState::Alive);
     CHECK(fleet.faults.empty());
 }
@@ -160,7 +160,7 @@
     CHECK(fleet.runUntil([&] { return fleet.homes("a").size() == 1; }, 500ms));
     fleet.kill(home);
     fleet.run(5s);
-    CHECK(fleet.isHomed());
+    CHECK(fleet.hasOneHomePerZone());
     CHECK(fleet.faults.empty());
 }
 
@@ -280,7 +280,7 @@
         fleet.start(name);
     }
     fleet.run(15s);
-    CHECK(fleet.isHomed());
+    CHECK(fleet.hasOneHomePerZone());
     CHECK(fleet.faults.empty());
 }
 
--- a/tests/unit/virtualfleet.cpp
+++ b/tests/unit/virtualfleet.cpp
@@ -63,7 +63,7 @@
         this->clock.wall += tickAt - this->clock.mono;
         this->clock.mono = tickAt;
         for (std::size_t i = 0; i < this->hosts.size(); ++i) {
-            this->give(i, Tick {});
+            this->deliver(i, Tick {});
         }
     }
 }
@@ -74,7 +74,7 @@
     ++this->revision.number;
     this->publishedAt[this->revision.number] = this->clock.mono;
     for (std::size_t i = 0; i < this->hosts.size(); ++i) {
-        if (this->blind.count(i) == 0 && this->hosts[i].watchedRevision) {
+        if (this->hostsWithoutPlatform.count(i) == 0 && this->hosts[i].watchedRevision) {
             this->hosts[i].watchedRevision.reset();
             this->sendTable(i);
         }
@@ -86,15 +86,15 @@
     const TableFetched fetched { this->revision, this->table, this->publishedWallTime() };
     const auto delay = this->tableDelay(host, this->revision);
     if (delay <= oneWayDelay) {
-        return this->give(host, fetched);
+        return this->deliver(host, fetched);
     }
-    this->schedule(delay, [=] { this->give(host, fetched); });
+    this->schedule(delay, [=] { this->deliver(host, fetched); });
 }
 
 auto VirtualFleet::publishedWallTime() const -> std::optional<WallTime>
 {
     const auto found = this->publishedAt.find(this->revision.number);
-    if (!this->tellsPublished || found == this->publishedAt.end()) {
+    if (!this->reportsPublishTime || found == this->publishedAt.end()) {
         return std::nullopt;
     }
     const auto exactTime = this->clock.wall - (this->clock.mono - found->second);
@@ -111,13 +111,13 @@
     return std::max(oneWayDelay, published->second + lag->second - this->clock.mono);
 }
 
-auto VirtualFleet::give(std::size_t host, Event event) -> void
+auto VirtualFleet::deliver(std::size_t host, Event event) -> void
 {
     if (this->hosts[host].dead) {
         return;
     }
     if (this->hosts[host].paused) {
-        this->hosts[host].backlog.push_back([this, host, event] { this->give(host, event); });
+        this->hosts[host].backlog.push_back([this, host, event] { this->deliver(host, event); });
         return;
     }
     auto hostNow = this->clock;
@@ -139,7 +139,7 @@
     arrived.token = token;
     arrived.key = key;
     arrived.timeout = timeout;
-    this->give(host, arrived);
+    this->deliver(host, arrived);
     return id;
 }
 
@@ -147,7 +147,7 @@
 {
     this->hosts[host].dead = true;
     for (std::size_t i = 0; i < this->hosts.size(); ++i) {
-        this->give(i, PeerDown { this->hosts[host].member.id, PeerLoss::Closed });
+        this->deliver(i, PeerDown { this->hosts[host].member.id, PeerLoss::Closed });
     }
     for (const auto &[exchange, sender] : this->relaySenders) {
         if (sender.home == host) {
@@ -215,9 +215,9 @@
 
 auto VirtualFleet::isDisconnected(std::size_t a, std::size_t b) const -> bool
 {
-    const auto isPartitioned = this->split.count(a) != this->split.count(b);
-    return this->hosts[b].dead || isPartitioned || this->mute.count(a) > 0
-           || this->mute.count(b) > 0;
+    const auto isPartitioned = this->partitionedHosts.count(a) != this->partitionedHosts.count(b);
+    return this->hosts[b].dead || isPartitioned || this->isolatedHosts.count(a) > 0
+           || this->isolatedHosts.count(b) > 0;
 }
 
 auto VirtualFleet::progress(std::size_t host, ExchangeId exchange, std::uint32_t attempt,
@@ -237,13 +237,13 @@
     if (keepAnswer) {
         event.whole = std::make_shared<const std::string>("kept");
     }
-    this->give(host, event);
+    this->deliver(host, event);
     const auto isFinal = progress == Progress::Answered || progress == Progress::Cut;
     if (!isFinal || this->hosts[host].dead || this->notifySender(exchange, progress)) {
         return;
     }
     const auto &result = this->results[exchange];
-    if (progress == Progress::Answered && result.headed && result.ends == 0) {
+    if (progress == Progress::Answered && result.gotHead && result.ends == 0) {
         this->recordEnd(exchange).answered = true;
         this->feeds.erase(exchange);
     }
@@ -300,7 +300,7 @@
                         });
                     },
                     [&](const ReadHosts &) {
-                        if (this->blind.count(host) > 0) {
+                        if (this->hostsWithoutPlatform.count(host) > 0) {
                             return;
                         }
                         HostsFetched fetched;
@@ -308,7 +308,7 @@
                             fetched.hosts.push_back(other.member);
                         }
                         this->schedule(oneWayDelay,
-                                       [this, host, fetched] { this->give(host, fetched); });
+                                       [this, host, fetched] { this->deliver(host, fetched); });
                     },
                     [&](const Unlisten &it) {
                         this->closedListeners.emplace_back(host, it.address);
@@ -371,7 +371,7 @@
     arrived.upstream = action.upstream;
     arrived.key = action.key;
     arrived.remaining = action.remaining;
-    this->schedule(oneWayDelay, [=] { this->give(to, arrived); });
+    this->schedule(oneWayDelay, [=] { this->deliver(to, arrived); });
 }
 
 auto VirtualFleet::on(std::size_t host, const OpenFeed &action) -> void
@@ -400,10 +400,10 @@
     this->schedule(oneWayDelay, [=] {
         if (this->isDisconnected(host, to)) {
             const auto loss = this->hosts[to].dead ? PeerLoss::Refused : PeerLoss::Silent;
-            return this->give(host, PeerDown { action.host, loss });
+            return this->deliver(host, PeerDown { action.host, loss });
         }
-        this->give(host, PeerUp { this->hosts[to].member });
-        this->give(to, PeerUp { this->hosts[host].member });
+        this->deliver(host, PeerUp { this->hosts[to].member });
+        this->deliver(to, PeerUp { this->hosts[host].member });
     });
 }
 
@@ -416,15 +416,15 @@
     const auto *body = std::get_if<TableBody>(&action.message);
     const auto delay = body == nullptr ? oneWayDelay : this->tableDelay(to, body->revision);
     this->schedule(delay, [=] {
-        this->give(to, PeerMessage { this->hosts[host].member.id, action.message });
+        this->deliver(to, PeerMessage { this->hosts[host].member.id, action.message });
     });
 }
 
 auto VirtualFleet::on(std::size_t host, const ReadTable &action) -> void
 {
-    if (this->blind.count(host) > 0) {
+    if (this->hostsWithoutPlatform.count(host) > 0) {
         return this->schedule(oneWayDelay, [=] {
-            this->give(host, PlatformFailed { PlatformRead::Table, "platform unreachable" });
+            this->deliver(host, PlatformFailed { PlatformRead::Table, "platform unreachable" });
         });
     }
     if (action.after == this->revision && action.wait > Duration::zero()) {
@@ -433,7 +433,7 @@
     }
     this->schedule(oneWayDelay, [=] {
         if (action.after == this->revision) {
-            return this->give(host, TableUnchanged { this->revision });
+            return this->deliver(host, TableUnchanged { this->revision });
         }
         this->sendTable(host);
     });
@@ -443,7 +443,7 @@
 {
     const auto *sender = this->relaySenderOf(action.exchange);
     if (sender == nullptr) {
-        this->results[action.exchange].headed = true;
+        this->results[action.exchange].gotHead = true;
         if (!action.setToken.empty()) {
             this->results[action.exchange].token = action.setToken;
         }
--- a/tests/unit/virtualfleet.h
+++ b/tests/unit/virtualfleet.h
@@ -34,7 +34,7 @@
 {
     std::optional<Refusal> refusal;
     std::string token;
-    bool headed = false;   ///< The head of an answer arrived.
+    bool gotHead = false;  ///< The head of an answer arrived.
     bool answered = false; ///< The answer arrived complete.
     bool replayed = false; ///< The answer was a stored one, replayed for a repeated key.
     bool aborted = false;  ///< The answer was aborted.
@@ -66,7 +66,7 @@
     /// Publishes a new table on the platform.
     auto publish(std::string table) -> void;
     /// Passes `event` to a host now and performs the resulting actions.
-    auto give(std::size_t host, Event event) -> void;
+    auto deliver(std::size_t host, Event event) -> void;
     /// Sends a caller's request or feed to a host. @returns its exchange.
     auto call(std::size_t host, const std::string &address, const std::string &token = {},
               const std::string &key = {}, Duration timeout = Duration { 0 }) -> ExchangeId;
@@ -93,11 +93,13 @@
 
     std::function<Behaviour(UpstreamId)> behaviour = [](UpstreamId) { return Behaviour::Answer; };
     Duration serviceTime = std::chrono::milliseconds(20);
-    std::map<std::size_t, Duration> skews; ///< Offset of hosts' wall clocks from the callers'.
-    std::set<std::size_t> blind;           ///< Hosts that get no answer from the platform.
-    std::set<std::size_t> mute;            ///< Hosts disconnected from all other hosts.
-    std::set<std::size_t> split; ///< Hosts in one partition, disconnected from all hosts outside.
-    bool tellsPublished = true;  ///< The platform reports a table's publication time, in seconds.
+    std::map<std::size_t, Duration> skews;      ///< Offset of hosts' wall clocks from the callers'.
+    std::set<std::size_t> hostsWithoutPlatform; ///< Hosts that get no answer from the platform.
+    std::set<std::size_t> isolatedHosts;        ///< Hosts disconnected from all other hosts.
+    std::set<std::size_t>
+            partitionedHosts; ///< Hosts in one partition, disconnected from all hosts outside.
+    bool reportsPublishTime =
+            true; ///< The platform reports a table's publication time, in seconds.
     std::map<std::size_t, Duration>
             tableLag; ///< Time after publication at which a host gets a table.
     std::vector<UpstreamRun> runs;
