--- a/include/flamingograde/action.h
+++ b/include/flamingograde/action.h
@@ -151,10 +151,10 @@
 /// `DirectoryReadFailed`; only one read is in progress at a time.
 struct ReadDirectory
 {
-    Revision after;         ///< This host has the changes up to this; invalid: read everything.
-    Duration wait { 0 };    ///< How long the platform may hold the call until a change.
-    bool mayBeLate = false; ///< The platform may give an answer that is some seconds old, which
-                            ///< costs it less.
+    Revision after;          ///< This host has the changes up to this; invalid: read everything.
+    Duration wait { 0 };     ///< How long the platform may hold the call until a change.
+    bool mayBeStale = false; ///< The platform may give an answer that is some seconds old, which
+                             ///< costs it less.
 };
 
 /// Connect to whichever host accepts connections at the address of a seed.
--- a/include/flamingograde/config.h
+++ b/include/flamingograde/config.h
@@ -24,7 +24,7 @@
 inline constexpr auto probeTimeout          = 300ms;  ///< Without an ack within this time, other hosts are asked to probe the peer.
 inline constexpr auto suspicionTimeout      = 1200ms; ///< A suspected host is declared dead after this time; longer than `pauseThreshold`.
 inline constexpr auto refusedTimeout        = 1100ms; ///< A host that refuses connections is declared dead after this time; longer than `pauseThreshold`.
-inline constexpr std::size_t refusalsOfDead = 3;      ///< Consecutive refused connections that indicate that a host's process has ended.
+inline constexpr std::size_t refusalsUntilDead = 3;   ///< Consecutive refused connections that indicate that a host's process has ended.
 inline constexpr auto hostListPeriod        = 2000ms; ///< Period in which a platform reader reads the host list.
 inline constexpr std::size_t indirectProbes = 3;      ///< Peers that are asked to probe an unresponsive peer.
 inline constexpr std::size_t updatesPerMessage = 6;   ///< Membership updates in one message.
@@ -35,9 +35,9 @@
 inline constexpr std::size_t contactsPerZone = 4;     ///< Hosts of each other zone that a host remembers in addition to connected ones.
 inline constexpr std::size_t flatMembershipHosts = 64;///< Fleet size above which a host with HTTP rows probes only its own zone and the bridges of other zones, and a host that carries packets waits for directory changes to be sent to it before it requests them.
 inline constexpr std::size_t bridgesPerZone = 2;      ///< Hosts of each other zone that are probed in a large fleet.
-inline constexpr auto viewsDiffer           = 3000ms; ///< Two hosts whose member lists differ for this long exchange the whole lists; longer than the 9 rounds of `probePeriod` in which a change reaches 300 hosts.
+inline constexpr auto viewDifferenceTimeout = 3000ms; ///< Two hosts whose member lists differ for this long exchange the whole lists; longer than the 9 rounds of `probePeriod` in which a change reaches 300 hosts.
 inline constexpr std::size_t listBytesPerSecond = 1500; ///< Rate limit of the member lists that a host sends: a third of the 5 KB/s that it may spend on control messages.
-inline constexpr std::size_t listBytesAtOnce = 32U << 10U; ///< Burst size of this limit after an idle period: five lists of 87 hosts.
+inline constexpr std::size_t listBytesBurst  = 32U << 10U; ///< Burst size of this limit after an idle period: five lists of 87 hosts.
 
 // Configuration.
 inline constexpr std::size_t readersPerZone = 2;      ///< Hosts of a zone that read the platform.
@@ -60,10 +60,10 @@
 
 // Directory.
 inline constexpr std::size_t directoryReaderZones = 2; ///< Zones whose best-ranked host watches the directory: when one zone is cut off, the other still has a reader. With a reader in each of six zones, a minute in which upstreams were replaced and added took 2,826 calls.
-inline constexpr auto directoryFirstReadWait = 400ms; ///< How long a starting host waits for its first directory read before it also requests the directory from hosts of its own zone.
-inline constexpr auto directoryMeetTime     = 1500ms; ///< A host that read the directory at its start leaves watches to other hosts for this long, until it knows its hubs: otherwise 295 hosts that start together would each make a call.
+inline constexpr auto directoryFirstReadWait = 400ms;  ///< How long a starting host waits for its first directory read before it also requests the directory from hosts of its own zone.
+inline constexpr auto directoryStartGrace   = 1500ms; ///< A host that read the directory at its start leaves watches to other hosts for this long, until it knows its hubs: otherwise 295 hosts that start together would each make a call.
 inline constexpr auto directoryWatchWait    = 1500ms; ///< How long a watch request is held; with `directoryReadMargin` it bounds how long a silent platform hides a change: 2.2 s of the 3 s allowed for an edit to take effect.
-inline constexpr auto directoryGather       = 300ms;  ///< Pause after a watch that returned changes, if the previous such answer came less than twice this time ago: changes of a rollout then share a call.
+inline constexpr auto rolloutReadPause      = 300ms;  ///< Pause after a watch that returned changes, if the previous such answer came less than twice this time ago: changes of a rollout then share a call.
 inline constexpr auto directorySilence      = 2200ms; ///< If no host has heard the platform for longer, leases may have lapsed unnoticed: a lease lasts 3.6 s from a heartbeat, and the last heartbeat may be 1.2 s, one period, older than the silence. A platform that works answers each watch within this time.
 inline constexpr auto directoryRecheck      = 3000ms; ///< Period in which a host whose directory reads were refused, and which leaves them to other hosts, tries again.
 inline constexpr auto directoryReadMargin   = 700ms;  ///< Longest time for an answer in addition to the requested wait: 10 times a slow answer of 60 ms.
@@ -75,7 +75,7 @@
 inline constexpr auto directoryAskFar       = 1000ms; ///< The same wait before a host of another zone is asked: leaves two thirds of the 3 s allowed for an edit to take effect.
 inline constexpr auto directoryStartupWait  = 150ms;  ///< Longest time for which a starting host reads the directory before it connects to other hosts: ten answers of the store.
 inline constexpr auto reappearTime          = 2200ms; ///< After a platform outage, a missing upstream may register again within this time.
-inline constexpr auto livingFor             = 2000ms; ///< An upstream that showed life within this time before its removal arrives has only lost its lease, because it is cut off from the platform: the lease of a dead upstream lapses two heartbeats of 1.2 s after its death or later.
+inline constexpr auto signOfLifeValidity    = 2000ms; ///< An upstream that showed life within this time before its removal arrives has only lost its lease, because it is cut off from the platform: the lease of a dead upstream lapses two heartbeats of 1.2 s after its death or later.
 inline constexpr auto tombstoneTime         = 90s;    ///< A removed upstream is remembered this long; longer than any of its flows exists.
 inline constexpr std::size_t directoryBytesMax = 64U << 20U; ///< Largest answer of the store in bytes.
 
@@ -84,18 +84,18 @@
 inline constexpr std::size_t flowsTracked   = 16384;  ///< Flows whose load and answers are tracked; 10,909 per host are open at the design size. A power of two.
 inline constexpr auto packetHoldTimeMax     = 500ms;  ///< Longest time for which a starting host leaves packets in the socket buffer until its directory is loaded; callers resend after 200 and 600 ms.
 inline constexpr std::size_t packetBatch    = 32;     ///< Packets read, decided on and sent in one batch.
-inline constexpr auto handshakePatience     = 60ms;   ///< An opening packet without a second packet of its flow within this time counts as unanswered: 8 round trips.
-inline constexpr auto distrustTime          = 300ms;  ///< After a start or a pause of the process, unanswered openings are no evidence against upstreams for this long: callers resend after 200 ms.
+inline constexpr auto handshakeTimeout      = 60ms;   ///< An opening packet without a second packet of its flow within this time counts as unanswered: 8 round trips.
+inline constexpr auto evidenceHoldOff       = 300ms;  ///< After a start or a pause of the process, unanswered openings are no evidence against upstreams for this long: callers resend after 200 ms.
 inline constexpr std::uint32_t silentOpenings = 2;    ///< An upstream counts as silent after it left this many openings, copies included, or requests unanswered since its last sign of life. A false positive lasts until the upstream's next sign of life: milliseconds where it has open flows.
 inline constexpr auto resendAgainTime       = 540ms;  ///< A request that is resent after this time is sent for the third time: callers resend 200 ms after the first and 400 ms after the second transmission. A live upstream acknowledges the second one at once, even while it is slow, cold or full.
-inline constexpr std::uint32_t lostFlows    = 2;      ///< Flows with a request that was sent three times and that the upstream has not answered since its last sign of life; from this number on, the upstream's open flows may be reset instead of waiting for it. Two, because a link that loses a tenth of its packets loses both acknowledgements of one request in 28.
-inline constexpr auto lostFresh             = 2000ms; ///< Open flows are reset only if the requests counted for `lostFlows` were lost more recently than this: an upstream that answers again has its open flows reset for no longer, and the lease of 3.6 s of a dead upstream has lapsed by then.
+inline constexpr std::uint32_t lostRequestsMin = 2;   ///< Flows with a request that was sent three times and that the upstream has not answered since its last sign of life; from this number on, the upstream's open flows may be reset instead of waiting for it. Two, because a link that loses a tenth of its packets loses both acknowledgements of one request in 28.
+inline constexpr auto lostRequestsFresh     = 2000ms; ///< Open flows are reset only if the requests counted for `lostRequestsMin` were lost more recently than this: an upstream that answers again has its open flows reset for no longer, and the lease of 3.6 s of a dead upstream has lapsed by then.
 inline constexpr auto answerGap             = 300ms;  ///< A host's connection to upstreams counts as uninterrupted while the intervals between its answered packets are shorter than this: a host of a large site sends a request or an opening every 30 ms.
 inline constexpr auto resendTime            = 180ms;  ///< A request that is resent after this time was not answered; callers resend after 200 ms.
-inline constexpr auto signFresh             = 1000ms; ///< An acknowledgement proves that an upstream is alive only if the flow's previous packet came to this host within this time; callers resend after 200 and 400 ms. After a longer gap, the answer may have been received while another host had the flow.
+inline constexpr auto acknowledgementFresh  = 1000ms; ///< An acknowledgement proves that an upstream is alive only if the flow's previous packet came to this host within this time; callers resend after 200 and 400 ms. After a longer gap, the answer may have been received while another host had the flow.
 inline constexpr auto trialPause            = 1000ms; ///< First pause before a new flow is also sent to a silent upstream as a trial; doubles with each trial.
 inline constexpr auto trialPauseMax         = 4000ms; ///< Longest pause between two trials of a silent upstream.
-inline constexpr auto busyForget            = 3000ms; ///< A request whose flow had no packet for this long counts as finished.
+inline constexpr auto requestExpiry         = 3000ms; ///< A request whose flow had no packet for this long counts as finished.
 inline constexpr double crowdedRequests     = 3.0;    ///< Requests per slot of the own zone from which new flows are sent to other zones: a request in the own zone would wait for two others, and upstreams shed requests from 5.0 on. At 1.0, traffic between zones and flows lost when a zone is cut off cost more than the wait.
 inline constexpr double crowdedUploads      = 4.0;    ///< The same threshold for uploads, whose traffic between zones costs more.
 inline constexpr double coldExcess          = 1.0;    ///< Limit of the requests of all hosts to a cold upstream in any second: this multiple of its cold limit,
@@ -147,7 +147,7 @@
 inline constexpr auto cancelGrace           = 20ms;   ///< A slot stays occupied for this long after its request was cancelled or lost.
 inline constexpr auto ejectTimeMax          = 60s;    ///< Longest duration of an ejection.
 inline constexpr auto serviceTimeFresh      = 5000ms; ///< A measured service time without a new measurement for this long causes no refusals.
-inline constexpr auto serviceTimeGuess      = 50ms;   ///< Service time assumed for fair scheduling of a row that has no measurement.
+inline constexpr auto defaultServiceTime    = 50ms;   ///< Service time assumed for fair scheduling of a row that has no measurement.
 inline constexpr double serviceTimeGain     = 0.1;    ///< Weight of a new measurement in the moving average.
 inline constexpr double serviceTimeDeviations = 2.0;  ///< Deviations above the mean that are allowed for an answer when its deadline is checked.
 inline constexpr auto deadlineMargin        = 5ms;    ///< An answer expected less than this time before its deadline counts as too late.
@@ -156,7 +156,7 @@
 
 // Connections.
 inline constexpr auto silenceTimeout        = 3000ms; ///< A peer connection that receives no bytes for this long is replaced.
-inline constexpr auto feedSilenceTimeout    = 15000ms;///< A feed that receives no bytes from its upstream for this long is reopened.
+inline constexpr auto feedSilenceTimeout    = 15000ms; ///< A feed that receives no bytes from its upstream for this long is reopened.
 inline constexpr auto callerKeepAlive       = 5000ms; ///< Period of the comments sent on a feed without events.
 inline constexpr auto connectTimeout        = 1000ms; ///< Longest wait until a connection is established.
 inline constexpr std::size_t feedsMax       = 400000; ///< Feeds that a host holds open.
@@ -169,9 +169,9 @@
 inline constexpr auto feedMoveTime          = 2000ms; ///< Period over which feeds are ended after the listeners were closed.
 inline constexpr auto closeGrace            = 500ms;  ///< A stopping host keeps serving for this long after it closed the listeners, for requests that were already on their way.
 inline constexpr auto stopReportPeriod      = 1000ms; ///< Period of the log lines that say what a stop waits for.
-inline constexpr auto fabricNotice          = 1600ms; ///< By this time after the start of a stop, a network fabric that checks hosts twice a second has missed two checks of the host.
-inline constexpr auto fabricQuiet           = 400ms;  ///< Without a packet for this long, the network fabric no longer sends packets to a stopping host: two of the intervals after which callers first resend.
-inline constexpr auto leaveNotice           = 1000ms; ///< Time between announcing a stop and closing the listeners.
+inline constexpr auto fabricCheckTime       = 1600ms; ///< By this time after the start of a stop, a network fabric that checks hosts twice a second has missed two checks of the host.
+inline constexpr auto fabricIdleTime        = 400ms;  ///< Without a packet for this long, the network fabric no longer sends packets to a stopping host: two of the intervals after which callers first resend.
+inline constexpr auto stopNoticeTime        = 1000ms; ///< Time between announcing a stop and closing the listeners.
 
 // clang-format on
 
--- a/src/core/homes/cell.h
+++ b/src/core/homes/cell.h
@@ -21,7 +21,7 @@
 struct UpstreamLoad
 {
     std::uint32_t running = 0; ///< Slots in use, lingering ones included.
-    /// Requests dispatched to the upstream per slot, raised by `countServed` if far behind other
+    /// Requests dispatched to the upstream per slot, raised by `countDispatch` if far behind other
     /// upstreams. Of equally loaded upstreams the one with the lowest value is chosen.
     double dispatchesPerSlot = 0;
 };
@@ -38,7 +38,7 @@
 struct Cell
 {
     CellId id;
-    bool homed = false;      ///< Whether this host is the cell's home, as of the last event.
+    bool isHomeHere = false; ///< Whether this host is the cell's home, as of the last event.
     std::uint32_t slots = 0; ///< Slots that the upstreams offered at the last `Tick`.
     double virtualTime = 0;  ///< Virtual time of the weighted fair queueing.
     std::size_t waiting = 0; ///< Queued requests of all rows.
--- a/src/core/membership/memberrecord.h
+++ b/src/core/membership/memberrecord.h
@@ -33,7 +33,7 @@
     std::optional<MonoTime> viewDiffersSince; ///< Since when its view and the local one differ.
     bool readsFail = false;                   ///< Its directory reads fail, as last reported.
     bool connected = false;
-    bool isNew = false;            ///< Not compared with the local view since it connected.
+    bool viewsNotCompared = false; ///< Not compared with the local view since it connected.
     bool listed = false;           ///< In the platform's last host list.
     bool everListed = false;       ///< In any host list of the platform.
     bool leaving = false;          ///< Announced a stop; set until it is reported alive again.
--- a/src/core/requests/dispatch.cpp
+++ b/src/core/requests/dispatch.cpp
@@ -87,7 +87,7 @@
 auto canMeetDeadline(const Blackboard &board, const Exchange &exchange, const RowQueue &row) -> bool
 {
     const auto remaining = exchange.deadline - board.now.mono;
-    const auto expected = row.serviceTime.likely(board.now.mono).value_or(Duration { 0 });
+    const auto expected = row.serviceTime.upperEstimate(board.now.mono).value_or(Duration { 0 });
     return remaining > expected + config::deadlineMargin;
 }
 
@@ -103,12 +103,13 @@
     }
 }
 
-/// Lowers `turnedAway` by one, because a dispatch has freed one place in the row's queue. Sets
-/// `turnedAway` to 0 if the queue is empty, because a retry of a refused request then finds room.
+/// Lowers `refusedUnserved` by one, because a dispatch has freed one place in the row's queue. Sets
+/// `refusedUnserved` to 0 if the queue is empty, because a retry of a refused request then finds
+/// room.
 auto reduceTurnedAway(RowQueue &row) -> void
 {
-    const auto outstanding = row.waiting.empty() ? 0 : row.turnedAway;
-    row.turnedAway = outstanding > 0 ? outstanding - 1 : 0;
+    const auto outstanding = row.waiting.empty() ? 0 : row.refusedUnserved;
+    row.refusedUnserved = outstanding > 0 ? outstanding - 1 : 0;
 }
 
 auto send(Blackboard &board, Cell &cell, const Candidate &candidate,
@@ -127,13 +128,13 @@
     request.charged = chargeRow(*candidate.row);
     board.cells.start(request);
     reduceTurnedAway(*candidate.row);
-    countServed(cell, offers, *candidate.offer);
+    countDispatch(cell, offers, *candidate.offer);
     markRepeatsMaybeSent(board, exchange);
     exchange.upstream = upstream.id;
     exchange.stage = Stage::Dispatched;
     exchange.maybeSent = true;
     ++board.stats.dispatched;
-    board.act(dispatchOf(board, exchange, candidate.row->name, upstream));
+    board.addAction(dispatchOf(board, exchange, candidate.row->name, upstream));
 }
 
 } // namespace
@@ -150,7 +151,7 @@
     action.rowName = rowName;
     action.key = exchange.key;
     action.freshConnection = !exchange.idempotent;
-    action.keepAnswer = !exchange.idempotent && !exchange.ownKey;
+    action.keepAnswer = !exchange.idempotent && !exchange.hasGeneratedKey;
     action.remaining = exchange.deadline - board.now.mono;
     action.expires = board.now.wall + action.remaining;
     return action;
--- a/src/emulator/peermesh.h
+++ b/src/emulator/peermesh.h
@@ -59,7 +59,7 @@
     /// Closes connections over cut links: refused ones at once, silent ones after
     /// `config::silenceTimeout`, when real hosts detect the silence. Precondition: called
     /// periodically.
-    auto review() -> void;
+    auto closeCutConnections() -> void;
 
     std::map<HostId, std::uint64_t> bytesSent;
     std::uint64_t bytesBetweenZones = 0;
--- a/tests/unit/coldsharingtest.cpp
+++ b/tests/unit/coldsharingtest.cpp
@@ -42,7 +42,7 @@
             member.id = HostId::ofName(name);
             member.zone = ZoneId::ofName("a");
         }
-        membership.touch();
+        membership.invalidateLookups();
         membership.refresh();
         auto rows = std::make_shared<PacketRows>(*bothRows(20));
         rows->coldLimits = { { ServiceId::ofName("live"), "live", coldTime, limitPerSecond } };
--- a/tests/unit/directorycontrollertest.cpp
+++ b/tests/unit/directorycontrollertest.cpp
@@ -255,7 +255,7 @@
     CHECK(host.tickUntilRead(2s) == config::tickPeriod);
     host.advanceTime(100ms);
     host.removeUpstream2(12);
-    CHECK(host.tickUntilRead(2s) >= config::directoryGather);
+    CHECK(host.tickUntilRead(2s) >= config::rolloutReadPause);
 }
 
 TEST_CASE(
