--- a/src/core/admission/admissioncontroller.cpp
+++ b/src/core/admission/admissioncontroller.cpp
@@ -5,7 +5,7 @@
 #include "core/admission/timeneeded.h"
 #include "core/admission/waitestimate.h"
 #include "core/blackboard.h"
-#include "core/homes/giveback.h"
+#include "core/homes/returntoplacement.h"
 #include "core/placement/upstreamchoice.h"
 #include "core/requests/dispatch.h"
 #include "core/requests/refuse.h"
--- a/src/core/configuration/configcontroller.cpp
+++ b/src/core/configuration/configcontroller.cpp
@@ -3,7 +3,7 @@
 
 #include "core/blackboard.h"
 #include "core/configuration/tableadoption.h"
-#include "core/configuration/tablespread.h"
+#include "core/configuration/tableannouncement.h"
 #include "core/membership/gossip.h"
 #include "core/overloaded.h"
 #include "core/rendezvous.h"
--- a/src/core/configuration/tablespread.cpp
+++ b/src/core/configuration/tableannouncement.cpp
@@ -1,5 +1,5 @@
 /// Announces new tables to other hosts and checks whether all hosts place keys alike.
-#include "core/configuration/tablespread.h"
+#include "core/configuration/tableannouncement.h"
 
 #include "core/blackboard.h"
 #include "core/membership/gossip.h"
--- a/src/core/directory/directorycontroller.h
+++ b/src/core/directory/directorycontroller.h
@@ -1,7 +1,7 @@
 /// Keeps the directory up to date from the platform and from other hosts.
 #pragma once
 
-#include "core/directory/standin.h"
+#include "core/directory/fallbackreader.h"
 
 #include <flamingograde/action.h>
 #include <flamingograde/clock.h>
--- a/src/core/directory/standin.cpp
+++ b/src/core/directory/fallbackreader.cpp
@@ -1,5 +1,5 @@
 /// Schedules directory reads in place of the zone's hubs.
-#include "core/directory/standin.h"
+#include "core/directory/fallbackreader.h"
 
 #include "core/blackboard.h"
 #include "core/directory/readerelection.h"
--- a/src/core/homes/giveback.cpp
+++ b/src/core/homes/returntoplacement.cpp
@@ -1,5 +1,5 @@
 /// Hands back a request on a host that is not, or no longer, the home of its cell.
-#include "core/homes/giveback.h"
+#include "core/homes/returntoplacement.h"
 
 #include "core/blackboard.h"
 #include "core/requests/refuse.h"
--- a/src/core/keys/keycontroller.cpp
+++ b/src/core/keys/keycontroller.cpp
@@ -2,7 +2,7 @@
 #include "core/keys/keycontroller.h"
 
 #include "core/blackboard.h"
-#include "core/homes/giveback.h"
+#include "core/homes/returntoplacement.h"
 #include "core/keys/keyfreshness.h"
 #include "core/overloaded.h"
 #include "core/requests/answermeaning.h"
--- a/src/core/membership/forgetting.cpp
+++ b/src/core/membership/memberremoval.cpp
@@ -1,5 +1,5 @@
 /// Removes the records of hosts that have ended.
-#include "core/membership/forgetting.h"
+#include "core/membership/memberremoval.h"
 
 #include "core/blackboard.h"
 
--- a/src/core/membership/membershipcontroller.cpp
+++ b/src/core/membership/membershipcontroller.cpp
@@ -2,9 +2,9 @@
 #include "core/membership/membershipcontroller.h"
 
 #include "core/blackboard.h"
-#include "core/membership/forgetting.h"
 #include "core/membership/gossip.h"
 #include "core/membership/membermerge.h"
+#include "core/membership/memberremoval.h"
 #include "core/membership/membershipstart.h"
 #include "core/overloaded.h"
 
--- a/src/core/membership/membershipcontroller.h
+++ b/src/core/membership/membershipcontroller.h
@@ -5,7 +5,7 @@
 #include "core/membership/failuredetector.h"
 #include "core/membership/listexchange.h"
 #include "core/membership/meshlinks.h"
-#include "core/membership/pausewatch.h"
+#include "core/membership/pausedetector.h"
 #include "core/membership/seeddialer.h"
 
 #include <flamingograde/event.h>
--- a/src/core/membership/pausewatch.cpp
+++ b/src/core/membership/pausedetector.cpp
@@ -1,5 +1,5 @@
 /// Measures the gaps between events.
-#include "core/membership/pausewatch.h"
+#include "core/membership/pausedetector.h"
 
 #include "core/blackboard.h"
 #include "core/milliseconds.h"
--- a/src/core/overlay/overlaycontroller.h
+++ b/src/core/overlay/overlaycontroller.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "core/membership/listexchange.h"
-#include "core/membership/pausewatch.h"
+#include "core/membership/pausedetector.h"
 #include "core/membership/seeddialer.h"
 #include "core/overlay/changebroadcaster.h"
 #include "core/overlay/deadhostdetector.h"
--- a/src/core/overlay/zoneview.cpp
+++ b/src/core/overlay/zoneview.cpp
@@ -2,8 +2,8 @@
 #include "core/overlay/zoneview.h"
 
 #include "core/blackboard.h"
-#include "core/membership/forgetting.h"
 #include "core/membership/membermerge.h"
+#include "core/membership/memberremoval.h"
 #include "core/membership/ownzone.h"
 #include "core/overlay/viewchanges.h"
 #include "core/overlay/zonehubs.h"
--- a/src/net/leavewatch.cpp
+++ b/src/net/disconnectwatch.cpp
@@ -1,5 +1,5 @@
 /// An epoll set of callers' sockets, nested in the epoll set of the event loop.
-#include "net/leavewatch.h"
+#include "net/disconnectwatch.h"
 
 #include "net/loop.h"
 
--- a/src/net/exchangetransport.h
+++ b/src/net/exchangetransport.h
@@ -1,8 +1,8 @@
 /// All requests in progress: from callers and from other hosts.
 #pragma once
 
+#include "net/disconnectwatch.h"
 #include "net/exchangecontext.h"
-#include "net/leavewatch.h"
 
 #include <flamingograde/action.h>
 #include <flamingograde/address.h>
--- a/src/net/hostlog.cpp
+++ b/src/net/hostlog.cpp
@@ -1,8 +1,8 @@
 /// The host's log on standard output: spdlog filters and formats, a bounded buffer writes.
 #include "net/hostlog.h"
 
-#include "net/lineallowance.h"
 #include "net/linebuffer.h"
+#include "net/logratelimiter.h"
 #include "net/loop.h"
 
 // Level names that operators' tools match.
--- a/src/table/entries.h
+++ b/src/table/entries.h
@@ -3,7 +3,7 @@
 
 #include "table/fieldreader.h"
 #include "table/findinglist.h"
-#include "table/tomltext.h"
+#include "table/parsedtoml.h"
 
 #include <functional>
 #include <string_view>
--- a/src/table/fieldreader.h
+++ b/src/table/fieldreader.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "table/findinglist.h"
-#include "table/place.h"
+#include "table/textposition.h"
 
 #include <flamingograde/address.h>
 
--- a/src/table/findinglist.h
+++ b/src/table/findinglist.h
@@ -3,7 +3,7 @@
 
 #include <flamingograde/finding.h>
 
-#include "table/place.h"
+#include "table/textposition.h"
 
 #include <cstddef>
 #include <string>
--- a/src/table/firstuses.h
+++ b/src/table/firstuses.h
@@ -1,7 +1,7 @@
 /// Detects keys that are used more than once in a text.
 #pragma once
 
-#include "table/place.h"
+#include "table/textposition.h"
 
 #include <unordered_map>
 
--- a/src/table/tomltext.cpp
+++ b/src/table/parsedtoml.cpp
@@ -3,10 +3,10 @@
 /// A text with syntax errors is first parsed section by section: reparsing one section after each
 /// error, not the whole text, keeps the time from growing with the number of errors. It is then
 /// parsed as a whole to find errors between sections, such as redefinitions.
-#include "table/tomltext.h"
+#include "table/parsedtoml.h"
 
 #include "table/fieldreader.h"
-#include "table/tomldraft.h"
+#include "table/tomllines.h"
 
 #include <flamingograde/config.h>
 
--- a/src/table/tomltext.h
+++ b/src/table/parsedtoml.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "table/findinglist.h"
-#include "table/tomldraft.h"
+#include "table/tomllines.h"
 
 #include <toml++/toml.h>
 
--- a/src/table/tableparser.cpp
+++ b/src/table/tableparser.cpp
@@ -2,8 +2,8 @@
 #include <flamingograde/tableparser.h>
 
 #include "table/findinglist.h"
+#include "table/parsedtoml.h"
 #include "table/tablereader.h"
-#include "table/tomltext.h"
 
 #include <flamingograde/config.h>
 
--- a/src/table/tablereader.h
+++ b/src/table/tablereader.h
@@ -4,7 +4,7 @@
 #include "table/findinglist.h"
 #include "table/firstuses.h"
 #include "table/idnames.h"
-#include "table/tomltext.h"
+#include "table/parsedtoml.h"
 
 #include <flamingograde/address.h>
 #include <flamingograde/row.h>
--- a/src/table/tomldraft.cpp
+++ b/src/table/tomllines.cpp
@@ -1,5 +1,5 @@
 /// The lines of a TOML text with syntax errors, which can be cleared one by one.
-#include "table/tomldraft.h"
+#include "table/tomllines.h"
 
 namespace flamingograde {
 
--- a/src/table/tomldraft.h
+++ b/src/table/tomllines.h
@@ -1,7 +1,7 @@
 /// The lines of a TOML text with syntax errors, which can be cleared one by one.
 #pragma once
 
-#include "table/place.h"
+#include "table/textposition.h"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -3,8 +3,8 @@
 
 #include "table/entries.h"
 #include "table/findinglist.h"
-#include "table/tomldraft.h"
-#include "table/tomltext.h"
+#include "table/parsedtoml.h"
+#include "table/tomllines.h"
 
 #include <flamingograde/config.h>
 
--- a/tests/net/logtests.cpp
+++ b/tests/net/logtests.cpp
@@ -1,6 +1,6 @@
 /// Tests of the log line buffer, whose reader may be slow or blocked, and of the log rate limit.
-#include "net/lineallowance.h"
 #include "net/linebuffer.h"
+#include "net/logratelimiter.h"
 
 #include <catch2/catch.hpp>
 
