--- a/src/core/admission/admissioncontroller.cpp
+++ b/src/core/admission/admissioncontroller.cpp
@@ -1,11 +1,11 @@
-/// Admits requests to the slots of the cells that this host is home of.
+/// Queueing, dispatch and refusal of the requests of the cells whose home is this host.
 #include "core/admission/admissioncontroller.h"
 
 #include "core/admission/fairorder.h"
 #include "core/admission/timeneeded.h"
 #include "core/admission/waitestimate.h"
 #include "core/blackboard.h"
-#include "core/homes/giveback.h"
+#include "core/homes/returntoplacement.h"
 #include "core/placement/upstreamchoice.h"
 #include "core/requests/dispatch.h"
 #include "core/requests/refuse.h"
@@ -17,41 +17,44 @@
 
 namespace {
 
-auto boundedPause(Duration pause) -> Duration
+auto clampRetryAfter(Duration pause) -> Duration
 {
     return std::clamp<Duration>(pause, config::retryAfterMin, config::retryAfterMax);
 }
 
-/// Returns whether the upstream of an ended request is surely done with it.
-auto isOver(const RunningRequest &request) -> bool
+/// Returns whether it is certain that the upstream no longer processes an ended request.
+auto hasUpstreamFinished(const RunningRequest &request) -> bool
 {
-    return request.answered || request.notSent || request.unrun;
+    return request.answered || request.notSent || request.notRun;
 }
 
-/// Corrects the charge of a request that ended, and learns from it how long its row takes.
-auto account(Blackboard &board, const RunningRequest &request) -> void
+/// Replaces the slot time charged for an ended request by the time used, and adds the time to the
+/// service time estimate of its row if the request was served or reached its deadline.
+auto accountSlotTime(Blackboard &board, const RunningRequest &request) -> void
 {
     auto &row = board.cells.cell(request.cell).rows[request.row];
     const auto used = board.now.mono - request.since;
     correctCharge(row, request.charged, used);
     const auto timedOut = request.deadline <= board.now.mono;
-    const auto served = request.answered && !request.unrun && !request.failed;
+    const auto served = request.answered && !request.notRun && !request.failed;
     if (served || timedOut) {
         row.serviceTime.sample(std::min(used, request.deadline - request.since), board.now.mono);
     }
 }
 
-/// Refuses the newest waiting request of `row` for want of room.
+/// Refuses the newest waiting request of `row` because a queue is full. The retry-after time is the
+/// expected time until the row's queue has room for it.
 auto shedNewest(Blackboard &board, Cell &cell, RowQueue &row) -> void
 {
     const auto offers = slotOffers(board, cell);
-    const auto pause = expectedRoom(cell, row, offers, board.now.mono);
-    ++row.turnedAway;
+    const auto pause = expectedTimeToRoom(cell, row, offers, board.now.mono);
+    ++row.refusedUnserved;
     refuse(board, *board.exchanges.find(row.waiting.back()), RefusalReason::QueueFull,
-           boundedPause(pause));
+           clampRetryAfter(pause));
 }
 
-/// Returns the least urgent row with a queue; of several the one with the longest.
+/// Returns the least urgent row with waiting requests; among equally urgent ones, the row with the
+/// longest queue. Null if no request waits.
 auto leastUrgentRow(Cell &cell) -> RowQueue *
 {
     RowQueue *least = nullptr;
@@ -67,18 +70,20 @@
     return least;
 }
 
-/// Refuses the newest request of `row` if it cannot be served in time.
+/// Refuses `exchange`, the newest request of `row`, if its answer is not expected at least
+/// `config::deadlineMargin` before its deadline.
 auto refuseIfLate(Blackboard &board, const Cell &cell, const RowQueue &row, Exchange &exchange)
         -> void
 {
     const auto needed = timeNeeded(board, cell, row, exchange);
     const auto remaining = exchange.deadline - board.now.mono;
     if (needed.has_value() && *needed + config::deadlineMargin >= remaining) {
-        refuse(board, exchange, RefusalReason::DeadlineUnmet, boundedPause(*needed - row.deadline));
+        refuse(board, exchange, RefusalReason::DeadlineUnmet,
+               clampRetryAfter(*needed - row.deadline));
     }
 }
 
-/// Enforces the bounds of the queues after one request more.
+/// Enforces the queue limits of `row` and `cell` after one request was queued.
 auto enforceBounds(Blackboard &board, Cell &cell, RowQueue &row) -> void
 {
     if (row.waiting.size() > row.capacity) {
@@ -89,23 +94,26 @@
     }
 }
 
+/// Calls `returnToPlacement` for all waiting requests of a cell whose home is no longer this host.
 auto giveBackWaiting(Blackboard &board, const Cell &cell) -> void
 {
     for (const auto id : board.cells.waitingIn(cell.id)) {
-        giveBack(board, *board.exchanges.find(id));
+        returnToPlacement(board, *board.exchanges.find(id));
     }
 }
 
-/// Counts what the homed cells offer, for gossip.
-auto countSlots(Blackboard &board) -> void
+/// Updates, for gossip, which cells this host is home of and how many slots each cell offers.
+auto updateSlotCounts(Blackboard &board) -> void
 {
     for (auto &[id, cell] : board.cells.all()) {
-        cell.homed = board.tenure.since(id).has_value();
+        cell.isHomeHere = board.tenure.since(id).has_value();
         cell.slots = offeredSlots(slotOffers(board, cell));
     }
 }
 
-auto releaseRepeats(Blackboard &board) -> void
+/// Passes to the key controller the repeats of a key that waited for its first request, if that
+/// request was not run.
+auto admitReleasedRepeats(Blackboard &board) -> void
 {
     for (const auto id : board.keys.takeReleased()) {
         board.toAdmit.push_back(id);
@@ -121,7 +129,7 @@
         this->onProgress(board, *progress);
     }
     if (std::holds_alternative<Tick>(event)) {
-        countSlots(board);
+        updateSlotCounts(board);
     }
 }
 
@@ -130,7 +138,7 @@
     this->settleEnded(board);
     if (board.cells.revision != board.config.revision) {
         board.cells.revision = board.config.revision;
-        board.cells.follow(board.table());
+        board.cells.applyTable(board.table());
     }
     for (const auto id : std::exchange(board.toQueue, {})) {
         auto *exchange = board.exchanges.find(id);
@@ -141,7 +149,7 @@
     for (auto &[id, cell] : board.cells.all()) {
         this->settleCell(board, cell);
     }
-    releaseRepeats(board);
+    admitReleasedRepeats(board);
     board.stats.queued = board.cells.queued();
     board.stats.running = board.cells.running();
 }
@@ -158,8 +166,8 @@
 auto AdmissionController::settleEnded(Blackboard &board) -> void
 {
     for (const auto &request : board.cells.takeEnded()) {
-        account(board, request);
-        if (!isOver(request)) {
+        accountSlotTime(board, request);
+        if (!hasUpstreamFinished(request)) {
             board.cells.linger(request, board.now.mono + config::cancelGrace);
         }
     }
@@ -169,7 +177,7 @@
 {
     const auto homed = board.tenure.since(exchange.cell).has_value();
     if (!homed && !board.tenure.isClaiming(exchange.cell)) {
-        giveBack(board, exchange);
+        returnToPlacement(board, exchange);
         return;
     }
     const auto *row = board.table().row(exchange.row);
@@ -181,10 +189,11 @@
         refuse(board, exchange, RefusalReason::NoUpstream, config::retryAfterMin);
         return;
     }
-    this->queueUp(board, exchange, *row);
+    this->enqueueRequest(board, exchange, *row);
 }
 
-auto AdmissionController::queueUp(Blackboard &board, Exchange &exchange, const Row &row) -> void
+auto AdmissionController::enqueueRequest(Blackboard &board, Exchange &exchange, const Row &row)
+        -> void
 {
     const auto id = exchange.id;
     exchange.stage = Stage::Queued;
@@ -203,8 +212,8 @@
 auto AdmissionController::settleCell(Blackboard &board, Cell &cell) -> void
 {
     board.cells.freeLingering(cell, board.now.mono);
-    cell.homed = board.tenure.since(cell.id).has_value();
-    if (cell.homed) {
+    cell.isHomeHere = board.tenure.since(cell.id).has_value();
+    if (cell.isHomeHere) {
         dispatchWaiting(board, cell);
     } else if (cell.waiting > 0 && !board.tenure.isClaiming(cell.id)) {
         giveBackWaiting(board, cell);
--- a/src/core/dump.cpp
+++ b/src/core/dump.cpp
@@ -42,10 +42,10 @@
              { "peer", self.peer.toString() },
              { "relay", self.relay.toString() },
              { "stopping", board.stop.stopping },
-             { "closed", board.stop.closed } };
+             { "closed", board.stop.listenersClosed } };
 }
 
-/// Returns how long ago the platform was last heard, or null for never.
+/// Returns the time since the platform last answered, or null if it never did.
 auto platformAgeJson(const Blackboard &board) -> json
 {
     if (!board.config.platformKnown) {
@@ -82,7 +82,8 @@
     return list;
 }
 
-/// Returns the cells of the table with their homes and what this host does in them.
+/// Returns the cells of the table with their home hosts and the requests that this host runs and
+/// queues in each.
 auto cellsJson(const Blackboard &board) -> json
 {
     auto list = json::array();
--- a/src/core/homes/giveback.cpp
+++ b/src/core/homes/returntoplacement.cpp
@@ -1,14 +1,14 @@
-/// What becomes of a request at a host that is not, or no longer, its cell's home.
-#include "core/homes/giveback.h"
+/// Hands back a request on a host that is not, or no longer, the home of its cell.
+#include "core/homes/returntoplacement.h"
 
 #include "core/blackboard.h"
 #include "core/requests/refuse.h"
 
 namespace flamingograde {
 
-auto giveBack(Blackboard &board, Exchange &exchange) -> void
+auto returnToPlacement(Blackboard &board, Exchange &exchange) -> void
 {
-    exchange.maybeSent = exchange.sentBefore;
+    exchange.maybeSent = exchange.earlierAttemptMaybeSent;
     if (exchange.origin == Origin::Relay) {
         exchange.stage = Stage::Admitting;
         refuse(board, exchange, RefusalReason::WrongHome, config::retryAfterMin);
--- a/src/core/keys/keyfreshness.cpp
+++ b/src/core/keys/keyfreshness.cpp
@@ -1,4 +1,4 @@
-/// Whether a key that a home has not seen can have been run by anyone.
+/// Decides whether a key without a record at its home may have been run by any host.
 #include "core/keys/keyfreshness.h"
 
 #include "core/blackboard.h"
@@ -9,12 +9,14 @@
 
 namespace {
 
-/// Returns whether the key is newer than `from`, the time before which it may have been run.
+/// Returns whether the key cannot have been run before `from`, or any such run is past its
+/// lifetime. A key with a birth time must have been made after `from`. For a key without one,
+/// `from` and `evictedUntil` must be longer ago than the lifetime of a key.
 auto isNewerThan(const Blackboard &board, const Exchange &exchange, WallTime from,
                  WallTime evictedUntil) -> bool
 {
-    if (exchange.keyBirth.has_value()) {
-        return *exchange.keyBirth > from + board.init.clockBound;
+    if (exchange.keyCreated.has_value()) {
+        return *exchange.keyCreated > from + board.init.clockBound;
     }
     const auto knownSince = std::max(from, evictedUntil);
     return board.now.wall > knownSince + config::keyLifetime + board.init.clockBound;
@@ -25,15 +27,17 @@
 auto isProvablyFresh(const Blackboard &board, const Exchange &exchange) -> bool
 {
     const auto known = board.tenure.knownFrom(exchange.cell);
-    return known.has_value() && isProvedBy(board, exchange, *known);
+    return known.has_value() && isProvablyFreshGiven(board, exchange, *known);
 }
 
-auto isProvedBy(const Blackboard &board, const Exchange &exchange, const KnownFrom &told) -> bool
+auto isProvablyFreshGiven(const Blackboard &board, const Exchange &exchange, const KnownFrom &known)
+        -> bool
 {
-    const auto placed = board.config.placements.find(
-            { exchange.service, exchange.key, exchange.keyBirth, board.now.wall, told.tables });
-    auto from = std::max(told.since, placed.since);
-    if (exchange.keyBirth.has_value()) {
+    const auto placement =
+            board.config.placements.find({ exchange.service, exchange.key, exchange.keyCreated,
+                                           board.now.wall, known.coveredRevision });
+    auto from = std::max(known.since, placement.since);
+    if (exchange.keyCreated.has_value()) {
         from = std::max(from, board.keys.forgottenUntil(exchange.cell));
     }
     return isNewerThan(board, exchange, from, board.keys.evictedUntil(exchange.cell));
@@ -44,11 +48,11 @@
     const auto since = std::max(known.since, board.keys.forgottenUntil(cell));
     const auto &upstreams = board.table().upstreamsOf(cell);
     if (upstreams.empty()) {
-        return { PlacementHistory::never, {} };
+        return { PlacementHistory::unknownSince, {} };
     }
     const auto service = board.table().upstreams()[upstreams.front()].service;
-    const auto placed = board.config.placements.movedSince(service, known.tables);
-    return { std::max(since, placed), board.config.revision };
+    const auto lastMove = board.config.placements.latestMove(service, known.coveredRevision);
+    return { std::max(since, lastMove), board.config.revision };
 }
 
 } // namespace flamingograde
--- a/src/core/membership/pausewatch.cpp
+++ b/src/core/membership/pausedetector.cpp
@@ -1,5 +1,5 @@
-/// Gaps between events.
-#include "core/membership/pausewatch.h"
+/// Measures the gaps between events.
+#include "core/membership/pausedetector.h"
 
 #include "core/blackboard.h"
 #include "core/milliseconds.h"
@@ -8,7 +8,7 @@
 
 namespace flamingograde {
 
-auto PauseWatch::notice(Blackboard &board) -> bool
+auto PauseDetector::detectPause(Blackboard &board) -> bool
 {
     const auto now = board.now.mono;
     const Duration gap = now - this->lastEvent.value_or(now);
@@ -18,7 +18,7 @@
     }
     ++board.stats.pauses;
     ++board.membership.pauses;
-    board.membership.pausedAt = now;
+    board.membership.resumedAt = now;
     board.log(LogEvent::PauseNoticed, "ms=" + std::to_string(milliseconds(gap)));
     return true;
 }
--- a/src/net/exchangetransport.cpp
+++ b/src/net/exchangetransport.cpp
@@ -1,4 +1,4 @@
-/// All requests under way: from callers and from other hosts.
+/// All requests in progress: from callers and from other hosts.
 #include "net/exchangetransport.h"
 
 #include "net/headernames.h"
@@ -14,9 +14,10 @@
 
 namespace {
 
-/// Reports that an action on a gone exchange sent nothing, where a report is owed.
+/// Reports `NotSent` for an action on an exchange that no longer exists, if the action would have
+/// sent a request; other actions need no report.
 template<typename A>
-auto reportGone(const ExchangeContext &context, const A &action) -> void
+auto reportNotSent(const ExchangeContext &context, const A &action) -> void
 {
     if constexpr (std::is_same_v<
                           A, Dispatch> || std::is_same_v<A, Relay> || std::is_same_v<A, OpenFeed>) {
@@ -32,7 +33,7 @@
                 [this](ExchangeId id) {
                     this->context.loop.defer([this, id] { this->exchanges.erase(id); });
                 } },
-      leaveWatch(loop, [this](ExchangeId id) {
+      disconnectWatch(loop, [this](ExchangeId id) {
           const auto found = this->exchanges.find(id);
           if (found != this->exchanges.end()) {
               found->second->callerLeft();
@@ -54,12 +55,12 @@
             std::make_unique<HttpExchange>(this->context, id, readRequest(*request), request);
     const auto descriptor = exchange->callerDescriptor();
     if (descriptor >= 0) {
-        this->leaveWatch.watch(descriptor, id);
+        this->disconnectWatch.watch(descriptor, id);
     }
     return *this->exchanges.emplace(id, std::move(exchange)).first->second;
 }
 
-auto ExchangeTransport::takeCaller(st_h2o_req_t *request, Address address) -> void
+auto ExchangeTransport::acceptCaller(st_h2o_req_t *request, Address address) -> void
 {
     auto event = readCaller(*request, address);
     this->add(request);
@@ -67,7 +68,7 @@
     this->context.post(std::move(event));
 }
 
-auto ExchangeTransport::takeRelay(st_h2o_req_t *request) -> void
+auto ExchangeTransport::acceptRelay(st_h2o_req_t *request) -> void
 {
     auto event = readRelay(*request);
     if (!event) {
@@ -84,7 +85,7 @@
 {
     const auto found = this->exchanges.find(action.exchange);
     if (found == this->exchanges.end()) {
-        reportGone(this->context, action);
+        reportNotSent(this->context, action);
         return;
     }
     found->second->act(action);
--- a/src/net/platformreader.h
+++ b/src/net/platformreader.h
@@ -17,21 +17,25 @@
 class Loop;
 class PlainGet;
 
-/// Makes one read of each kind at a time; a new one takes the place of one under way.
+/// Runs at most one read of each kind; a new read replaces one in progress.
 /// @remarks Not thread safe.
 class PlatformReader
 {
 public:
     using Post = std::function<void(Event)>;
 
-    /// @param platform where the platform is.
+    /// @param platform address of the platform.
+    /// @param report receives the results of the reads as events.
     PlatformReader(Loop &owner, HttpClient &http, Address platform, Post report);
     ~PlatformReader();
     PlatformReader(const PlatformReader &) = delete;
     auto operator=(const PlatformReader &) -> PlatformReader & = delete;
 
-    /// Carries out an action. Precondition: not called from within a callback of h2o.
+    /// Starts to read the table. Reports `TableFetched`, `TableUnchanged` or `PlatformFailed`.
+    /// Precondition: not called from an h2o callback.
     auto act(const ReadTable &action) -> void;
+    /// Starts to read the host list. Reports `HostsFetched` or `PlatformFailed`.
+    /// Precondition: not called from an h2o callback.
     auto act(const ReadHosts &action) -> void;
 
 private:
--- a/src/net/requestplane.cpp
+++ b/src/net/requestplane.cpp
@@ -1,4 +1,4 @@
-/// What serves the rows of a table over HTTP.
+/// Serves the rows of a table over HTTP.
 #include "net/requestplane.h"
 
 #include "core/overloaded.h"
@@ -13,11 +13,11 @@
       exchanges(loop, client, settings.init.self.name, post),
       callers(loop, config::bodyBytesMax,
               [this](st_h2o_req_t *request, Address row) {
-                  this->exchanges.takeCaller(request, row);
+                  this->exchanges.acceptCaller(request, row);
               }),
       relays(loop, config::bodyBytesMax,
              [this](st_h2o_req_t *request, Address /*tag*/) {
-                 this->exchanges.takeRelay(request);
+                 this->exchanges.acceptRelay(request);
              }),
       rows(loop, this->callers, settings.services)
 {}
@@ -29,7 +29,9 @@
 
 auto RequestPlane::act(const Action &action) -> void
 {
-    const auto exchange = [this](const auto &ofExchange) { this->exchanges.act(ofExchange); };
+    const auto exchange = [this](const auto &exchangeAction) {
+        this->exchanges.act(exchangeAction);
+    };
     std::visit(Overloaded { [&](const Dispatch &it) { exchange(it); },
                             [&](const Relay &it) { exchange(it); },
                             [&](const OpenFeed &it) { exchange(it); },
--- a/src/table/finding.cpp
+++ b/src/table/finding.cpp
@@ -1,4 +1,4 @@
-/// Writes findings as compilers write errors.
+/// Formats findings in the style of compiler errors.
 #include <flamingograde/finding.h>
 
 namespace flamingograde {
@@ -9,9 +9,9 @@
     if (this->line != 0) {
         text += ":" + std::to_string(this->line) + ":" + std::to_string(this->column);
     }
-    text += ": " + this->what;
-    if (!this->mend.empty()) {
-        text += " (" + this->mend + ")";
+    text += ": " + this->message;
+    if (!this->hint.empty()) {
+        text += " (" + this->hint + ")";
     }
     return text;
 }
--- a/src/table/firstuses.h
+++ b/src/table/firstuses.h
@@ -1,29 +1,30 @@
-/// Finds what is used twice.
+/// Detects keys that are used more than once in a text.
 #pragma once
 
-#include "table/place.h"
+#include "table/textposition.h"
 
 #include <unordered_map>
 
 namespace flamingograde {
 
-/// Remembers where each key was used first.
+/// Maps each key to the position of its first use.
 /// @remarks Not thread safe.
 template<typename Key>
 class FirstUses
 {
 public:
-    /// Notes that `key` is used at `place`.
-    /// @returns the place of its first use if there was one, else null; valid until the next call.
+    /// Records that `key` is used at `position`.
+    /// @returns the position of the first use if the key was used before, else null; valid until
+    ///     the next call.
     /// Precondition: none.
-    [[nodiscard]] auto note(const Key &key, Place place) -> const Place *
+    [[nodiscard]] auto record(const Key &key, TextPosition position) -> const TextPosition *
     {
-        const auto [entry, isNew] = this->places.emplace(key, place);
+        const auto [entry, isNew] = this->positions.emplace(key, position);
         return isNew ? nullptr : &entry->second;
     }
 
 private:
-    std::unordered_map<Key, Place> places;
+    std::unordered_map<Key, TextPosition> positions;
 };
 
 } // namespace flamingograde
--- a/src/table/place.h
+++ b/src/table/textposition.h
@@ -1,12 +1,12 @@
-/// A place in a text.
+/// A position in a text.
 #pragma once
 
 #include <cstdint>
 
 namespace flamingograde {
 
-/// A line and a column, both counted from 1; 0 for no place.
-struct Place
+/// Line and column, both counted from 1; 0 if there is no position.
+struct TextPosition
 {
     std::uint32_t line = 0;
     std::uint32_t column = 0;
