--- a/bench/core/benchhost.cpp
+++ b/bench/core/benchhost.cpp
@@ -1,4 +1,4 @@
-/// A host on its own for benches.
+/// Single-host fixture for benchmarks.
 #include "benchhost.h"
 
 #include <malloc.h>
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto startOfTime = 1'800'000'000s;
-constexpr auto settleTime = 15s; ///< Longer than the start-up and the ramp of upstreams.
+constexpr auto wallClockStart = 1'800'000'000s;
+constexpr auto settleTime = 15s; ///< Longer than the start-up and the upstream ramp.
 constexpr int statusOk = 200;
 
 auto makeMember() -> Member
@@ -37,7 +37,7 @@
 
 } // namespace
 
-auto heldBytes() -> double
+auto allocatedBytes() -> double
 {
     const auto info = mallinfo2();
     return static_cast<double>(info.uordblks + info.hblkhd);
@@ -67,17 +67,17 @@
 BenchHost::BenchHost(std::string table)
     : member(makeMember()), text(std::move(table)),
       host(makeInit(this->member)), clock { MonoTime(Duration(100s)),
-                                            WallTime(Duration(startOfTime)) }
+                                            WallTime(Duration(wallClockStart)) }
 {
-    this->give(Tick {});
+    this->handleEvent(Tick {});
     HostsFetched hosts;
     hosts.hosts.push_back(this->member);
-    this->give(std::move(hosts));
-    this->give(TableFetched { Revision { 1 }, this->text });
-    this->pass(settleTime);
+    this->handleEvent(std::move(hosts));
+    this->handleEvent(TableFetched { Revision { 1 }, this->text });
+    this->runFor(settleTime);
 }
 
-auto BenchHost::give(Event event) -> const std::vector<Action> &
+auto BenchHost::handleEvent(Event event) -> const std::vector<Action> &
 {
     return this->host.handle(this->clock, std::move(event));
 }
@@ -88,11 +88,11 @@
     this->clock.wall += time;
 }
 
-auto BenchHost::pass(Duration time) -> void
+auto BenchHost::runFor(Duration time) -> void
 {
     for (Duration passed { 0 }; passed < time; passed += config::tickPeriod) {
         this->advance(config::tickPeriod);
-        this->give(Tick {});
+        this->handleEvent(Tick {});
     }
 }
 
@@ -104,7 +104,7 @@
     arrived.address = address;
     arrived.token = token;
     arrived.key = key;
-    this->give(std::move(arrived));
+    this->handleEvent(std::move(arrived));
     return ExchangeId(this->lastExchange);
 }
 
@@ -118,7 +118,7 @@
         event.head = AnswerHead {};
         event.head->status = statusOk;
     }
-    this->give(std::move(event));
+    this->handleEvent(std::move(event));
 }
 
 auto BenchHost::openFeed(const std::string &token) -> ExchangeId
@@ -137,7 +137,7 @@
     event.progress = Progress::Answering;
     event.head = AnswerHead {};
     event.head->status = statusOk;
-    for (const auto &action : this->give(std::move(event))) {
+    for (const auto &action : this->handleEvent(std::move(event))) {
         if (const auto *pass = std::get_if<PassAnswer>(&action)) {
             return pass->setToken;
         }
--- a/bench/core/benchhost.h
+++ b/bench/core/benchhost.h
@@ -1,4 +1,4 @@
-/// One host that a bench gives events to, with a clock of its own.
+/// Single-host fixture for benchmarks, driven by events and a simulated clock.
 #pragma once
 
 #include <flamingograde/balancer.h>
@@ -10,32 +10,34 @@
 
 namespace flamingograde {
 
-/// Returns a table of the size of the Association's larger service.
+/// Returns the text of a table with three rows and one service of `benchUpstreams` upstreams, the
+/// size of the larger service of the reference deployment.
 [[nodiscard]] auto benchTable() -> std::string;
 
-/// A `Balancer` that is alone in its fleet: home of every cell, with no transport behind it.
+/// A `Balancer` that is the only host of its fleet. It is the home of every cell, and no transport
+/// carries out its actions.
 /// @remarks Not thread safe.
 class BenchHost
 {
 public:
-    /// Starts the host with a table and lets time pass until it is home.
+    /// Starts the host with a table and advances the clock until it is the home of its cells.
     explicit BenchHost(std::string table = benchTable());
 
-    /// Gives an event to the host. @returns the actions, valid until the next event.
-    auto give(Event event) -> const std::vector<Action> &;
-    /// Moves the clocks on, without a tick.
+    /// Passes an event to the balancer. @returns the actions, valid until the next event.
+    auto handleEvent(Event event) -> const std::vector<Action> &;
+    /// Advances the monotonic clock and the wall clock without a tick.
     auto advance(Duration time) -> void;
-    /// Lets time pass, with ticks.
-    auto pass(Duration time) -> void;
+    /// Advances the clocks by `time` and runs a tick after each `config::tickPeriod`.
+    auto runFor(Duration time) -> void;
 
-    /// Has a caller arrive at `address`. @returns its exchange.
+    /// Simulates a caller that arrives at `address`. @returns its exchange.
     auto arrive(Address address, const std::string &token = {}, const std::string &key = {})
             -> ExchangeId;
-    /// Reports on attempt 1 of an exchange.
+    /// Reports the progress of attempt 1 of an exchange.
     auto report(ExchangeId exchange, Progress progress) -> void;
-    /// Opens a feed whole. @returns its exchange.
+    /// Opens a feed up to the head of its answer. @returns its exchange.
     auto openFeed(const std::string &token = {}) -> ExchangeId;
-    /// Opens a feed and returns the token that its caller gets.
+    /// Opens a feed. @returns the token set in the answer to its caller; empty if there is none.
     auto feedToken() -> std::string;
 
     [[nodiscard]] auto self() const -> const Member & { return this->member; }
@@ -50,14 +52,14 @@
     std::uint64_t lastExchange = 0;
 };
 
-/// Addresses of the rows of a `BenchHost`.
+/// Row addresses in `benchTable()`.
 inline constexpr Address feedRow { 0x0A090001, 80 };
 inline constexpr Address keyedRow { 0x0A090002, 80 };
 inline constexpr Address readRow { 0x0A090003, 80 };
 
-inline constexpr std::size_t benchUpstreams = 14; ///< Of the rows' service.
+inline constexpr std::size_t benchUpstreams = 14; ///< Upstreams of the service in `benchTable()`.
 
-/// Returns the bytes that the allocator has given out and not got back.
-[[nodiscard]] auto heldBytes() -> double;
+/// Returns the bytes allocated by malloc and not yet freed, with those of mapped blocks.
+[[nodiscard]] auto allocatedBytes() -> double;
 
 } // namespace flamingograde
--- a/bench/core/bigfleet.cpp
+++ b/bench/core/bigfleet.cpp
@@ -1,4 +1,4 @@
-/// The scripted fleet around one host.
+/// Simulated fleet around one host.
 #include "bigfleet.h"
 
 #include "wire/messagecodec.h"
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 constexpr std::uint32_t firstIp = 0x0A100001;
-constexpr auto startOfTime = WallTime(Duration(1'800'000'000s));
+constexpr auto wallClockStart = WallTime(Duration(1'800'000'000s));
 
 } // namespace
 
@@ -22,12 +22,12 @@
     this->addMembers(hosts);
     HostsFetched fetched;
     fetched.hosts = this->members;
-    this->give(fetched);
-    this->pass(5s, 0);
+    this->handleEvent(fetched);
+    this->runFor(5s, 0);
     this->joinTraffic = std::exchange(this->traffic, {});
 }
 
-auto BigFleet::pass(Duration time, double changesPerSecond) -> void
+auto BigFleet::runFor(Duration time, double changesPerSecond) -> void
 {
     const auto changesPerProbe =
             changesPerSecond * std::chrono::duration<double>(config::probePeriod).count();
@@ -36,7 +36,7 @@
         this->passed += config::tickPeriod;
         this->tick();
         if (this->passed % config::probePeriod == 0ms) {
-            this->probeFrom(this->drawChanges(changesPerProbe));
+            this->deliverProbe(this->drawMemberChanges(changesPerProbe));
         }
     }
 }
@@ -58,53 +58,53 @@
 
 auto BigFleet::tick() -> void
 {
-    for (const auto host : std::exchange(this->coming, {})) {
+    for (const auto host : std::exchange(this->pendingConnections, {})) {
         for (const auto &member : this->members) {
             if (member.id == host) {
-                this->neighbours.push_back(host);
-                this->give(PeerUp { member });
+                this->connectedHosts.push_back(host);
+                this->handleEvent(PeerUp { member });
             }
         }
     }
-    for (auto &answer : std::exchange(this->answers, {})) {
-        this->give(std::move(answer));
+    for (auto &event : std::exchange(this->pendingEvents, {})) {
+        this->handleEvent(std::move(event));
     }
     this->bench.advance(config::tickPeriod);
-    this->give(Tick {});
+    this->handleEvent(Tick {});
 }
 
-auto BigFleet::probeFrom(std::vector<Member> changes) -> void
+auto BigFleet::deliverProbe(std::vector<Member> changes) -> void
 {
-    if (this->neighbours.empty()) {
+    if (this->connectedHosts.empty()) {
         return;
     }
     Ping ping;
     ping.sequence = ++this->lastSequence;
     ping.gossip = this->makeGossip();
     ping.gossip.updates = std::move(changes);
-    const auto from = this->neighbours[this->random() % this->neighbours.size()];
-    this->give(PeerMessage { from, std::move(ping) });
+    const auto from = this->connectedHosts[this->random() % this->connectedHosts.size()];
+    this->handleEvent(PeerMessage { from, std::move(ping) });
 }
 
-auto BigFleet::drawChanges(double count) -> std::vector<Member>
+auto BigFleet::drawMemberChanges(double count) -> std::vector<Member>
 {
     std::vector<Member> changes;
-    this->owedChanges += count;
-    while (this->owedChanges >= 1) {
-        this->owedChanges -= 1;
+    this->pendingChanges += count;
+    while (this->pendingChanges >= 1) {
+        this->pendingChanges -= 1;
         auto &member = this->members[1 + this->random() % (this->members.size() - 1)];
-        const auto age = startOfTime.time_since_epoch() + this->passed;
+        const auto age = wallClockStart.time_since_epoch() + this->passed;
         member.incarnation = static_cast<std::uint64_t>(age.count());
         changes.push_back(member);
     }
     return changes;
 }
 
-auto BigFleet::answerRead(PlatformRead read) -> void
+auto BigFleet::handlePlatformRead(PlatformRead read) -> void
 {
     ++this->traffic.platformReads;
-    if (this->platformLost) {
-        this->answers.emplace_back(PlatformFailed { read, "refused" });
+    if (this->platformReadsFail) {
+        this->pendingEvents.emplace_back(PlatformFailed { read, "refused" });
     }
 }
 
@@ -113,32 +113,32 @@
     Gossip gossip;
     gossip.revision = Revision { 1 };
     gossip.tableDigest = hashName(this->bench.table());
-    gossip.platformAgeMs =
-            this->platformLost ? std::numeric_limits<std::uint32_t>::max() : std::uint32_t { 0 };
+    gossip.platformAgeMs = this->platformReadsFail ? std::numeric_limits<std::uint32_t>::max()
+                                                   : std::uint32_t { 0 };
     return gossip;
 }
 
-auto BigFleet::give(Event event) -> void
+auto BigFleet::handleEvent(Event event) -> void
 {
-    for (const auto &action : this->bench.give(std::move(event))) {
-        this->take(action);
+    for (const auto &action : this->bench.handleEvent(std::move(event))) {
+        this->applyAction(action);
     }
 }
 
-auto BigFleet::take(const Action &action) -> void
+auto BigFleet::applyAction(const Action &action) -> void
 {
     if (const auto *connect = std::get_if<ConnectPeer>(&action)) {
         ++this->traffic.dials;
         if (this->dialled.insert(connect->host).second) {
-            this->coming.push_back(connect->host);
+            this->pendingConnections.push_back(connect->host);
         }
         return;
     }
     if (std::holds_alternative<ReadTable>(action)) {
-        return this->answerRead(PlatformRead::Table);
+        return this->handlePlatformRead(PlatformRead::Table);
     }
     if (std::holds_alternative<ReadHosts>(action)) {
-        return this->answerRead(PlatformRead::Hosts);
+        return this->handlePlatformRead(PlatformRead::Hosts);
     }
     const auto *sent = std::get_if<SendPeer>(&action);
     if (sent == nullptr) {
@@ -151,7 +151,7 @@
         Ack ack;
         ack.sequence = ping->sequence;
         ack.gossip = this->makeGossip();
-        this->answers.emplace_back(PeerMessage { sent->host, std::move(ack) });
+        this->pendingEvents.emplace_back(PeerMessage { sent->host, std::move(ack) });
     }
 }
 
--- a/bench/core/bigfleetbench.cpp
+++ b/bench/core/bigfleetbench.cpp
@@ -1,5 +1,5 @@
-/// What a host costs in a fleet at the design size: memory, control traffic and time of
-/// ticks by the number of hosts, and time of new feeds and ticks by the size of fleet and table.
+/// Cost of a host in fleets of up to the design size of 11,000 hosts: memory, control traffic and
+/// tick time by number of hosts, new-feed time by fleet size, and tick time by table size.
 #include "bigfleet.h"
 
 #include "unit/tabletext.h"
@@ -15,83 +15,85 @@
 using namespace flamingograde;
 using namespace std::chrono_literals;
 
-constexpr Duration span = 10s;
-constexpr double spanSeconds = 10;
+constexpr Duration interval = 10s; ///< Simulated time per iteration.
+constexpr double intervalSeconds = 10;
 constexpr std::size_t designHosts = 11'000;
 
-/// Changes a second at the design rate: 11,000 restarts, each told as leaving, dead and alive,
-/// and 210 failures, each told as suspect, dead and alive.
+/// Member changes per second at the design rate. A day has 11,000 restarts, each gossiped as
+/// leaving, dead and alive, and 210 failures, each gossiped as suspect, dead and alive.
 constexpr double designChanges = (11'000 + 210) * 3 / 86'400.0;
 
-/// One host among `range(0)`, idle (`range(1)` 0) or under its changes (1).
+/// One host in a fleet of `range(0)` hosts, without member changes (`range(1)` is 0) or with
+/// changes at the design rate (1).
 auto hostInFleet(benchmark::State &state) -> void
 {
-    const auto before = heldBytes();
+    const auto before = allocatedBytes();
     BigFleet fleet(static_cast<std::size_t>(state.range(0)), benchTable());
-    const auto held = heldBytes() - before;
+    const auto held = allocatedBytes() - before;
     const auto changes = state.range(1) == 0 ? 0.0 : designChanges;
-    double spans = 0;
+    double intervals = 0;
     while (state.KeepRunning()) {
         const auto begin = std::chrono::steady_clock::now();
-        fleet.pass(span, changes);
+        fleet.runFor(interval, changes);
         const std::chrono::duration<double> passed = std::chrono::steady_clock::now() - begin;
         state.SetIterationTime(passed.count());
-        ++spans;
+        ++intervals;
     }
-    const auto seconds = spans * spanSeconds;
+    const auto seconds = intervals * intervalSeconds;
     state.counters["held_bytes"] = held;
-    state.counters["bytes_sent_per_second"] = static_cast<double>(fleet.sent().bytes) / seconds;
+    state.counters["bytes_sent_per_second"] =
+            static_cast<double>(fleet.sentAfterJoining().bytes) / seconds;
     state.counters["messages_sent_per_second"] =
-            static_cast<double>(fleet.sent().messages) / seconds;
+            static_cast<double>(fleet.sentAfterJoining().messages) / seconds;
     state.counters["members"] = static_cast<double>(fleet.host().balancer().stats().membersAlive);
 }
 
-/// Bytes sent in the first seconds of a host that joins a fleet of `range(0)`.
+/// Bytes and connection requests of a host in its first seconds in a fleet of `range(0)` hosts.
 auto joinFleet(benchmark::State &state) -> void
 {
     SentTraffic sent;
     while (state.KeepRunning()) {
         const BigFleet fleet(static_cast<std::size_t>(state.range(0)), benchTable());
-        sent = fleet.joining();
+        sent = fleet.sentWhileJoining();
     }
     state.counters["bytes_sent"] = static_cast<double>(sent.bytes);
     state.counters["dials"] = static_cast<double>(sent.dials);
 }
 
-/// Reads of the platform by one host of 11,000 while each read fails.
+/// Rate of platform reads by one host of 11,000 while every read fails.
 auto platformSilent(benchmark::State &state) -> void
 {
     BigFleet fleet(designHosts, benchTable());
-    fleet.losePlatform();
-    fleet.pass(span, 0);
-    const auto before = fleet.sent().platformReads;
-    double spans = 0;
+    fleet.failPlatformReads();
+    fleet.runFor(interval, 0);
+    const auto before = fleet.sentAfterJoining().platformReads;
+    double intervals = 0;
     while (state.KeepRunning()) {
-        fleet.pass(span, 0);
-        ++spans;
+        fleet.runFor(interval, 0);
+        ++intervals;
     }
-    const auto reads = static_cast<double>(fleet.sent().platformReads - before);
-    state.counters["reads_per_second"] = reads / (spans * spanSeconds);
+    const auto reads = static_cast<double>(fleet.sentAfterJoining().platformReads - before);
+    state.counters["reads_per_second"] = reads / (intervals * intervalSeconds);
 }
 
-/// A new feed without a token in a fleet of `range(0)` hosts.
+/// Placement of a new feed without a token in a fleet of `range(0)` hosts.
 auto newFeedInFleet(benchmark::State &state) -> void
 {
     BigFleet fleet(static_cast<std::size_t>(state.range(0)), benchTable());
     while (state.KeepRunning()) {
         const auto feed = fleet.host().arrive(feedRow);
-        fleet.host().give(CallerLeft { feed });
+        fleet.host().handleEvent(CallerLeft { feed });
     }
 }
 
-/// A tick of a host with a table of `range(0)` upstreams.
+/// Tick of a host with a table of `range(0)` upstreams.
 auto tickWithTable(benchmark::State &state) -> void
 {
     const auto upstreams = static_cast<std::size_t>(state.range(0));
     constexpr std::size_t each = 10;
     BenchHost host(writeTable(makeTable(0, upstreams / each, each, BigFleet::zones)));
     while (state.KeepRunning()) {
-        host.pass(config::tickPeriod);
+        host.runFor(config::tickPeriod);
     }
 }
 
--- a/bench/core/feedmemorybench.cpp
+++ b/bench/core/feedmemorybench.cpp
@@ -1,4 +1,4 @@
-/// Memory of the library per open feed, and what a tick costs while many are held.
+/// Memory of the library per open feed, and time of a tick with many open feeds.
 #include "benchhost.h"
 
 #include <benchmark/benchmark.h>
@@ -7,35 +7,35 @@
 
 using namespace flamingograde;
 
-constexpr std::size_t heldFeeds = 300'000;
+constexpr std::size_t openFeedCount = 300'000;
 
-/// Opens `heldFeeds` feeds; the counter is what the allocator gave out for each.
+/// Opens `openFeedCount` feeds; `bytes_per_feed` is the allocated memory per open feed.
 auto holdFeeds(benchmark::State &state) -> void
 {
     double bytes = 0;
     double held = 0;
     while (state.KeepRunning()) {
         BenchHost host;
-        const auto before = heldBytes();
-        for (std::size_t i = 0; i < heldFeeds; ++i) {
+        const auto before = allocatedBytes();
+        for (std::size_t i = 0; i < openFeedCount; ++i) {
             host.openFeed();
         }
-        bytes = heldBytes() - before;
+        bytes = allocatedBytes() - before;
         held = static_cast<double>(host.balancer().stats().feeds);
     }
     state.counters["feeds"] = held;
     state.counters["bytes_per_feed"] = bytes / held;
 }
 
-/// A tick, which comes every 50 ms, with `heldFeeds` feeds held.
+/// Tick, due every 50 ms, with `openFeedCount` open feeds.
 auto tickWithFeeds(benchmark::State &state) -> void
 {
     BenchHost host;
-    for (std::size_t i = 0; i < heldFeeds; ++i) {
+    for (std::size_t i = 0; i < openFeedCount; ++i) {
         host.openFeed();
     }
     while (state.KeepRunning()) {
-        host.pass(config::tickPeriod);
+        host.runFor(config::tickPeriod);
     }
 }
 
--- a/bench/core/flow_bench.cpp
+++ b/bench/core/flow_bench.cpp
@@ -1,4 +1,4 @@
-/// Costs of steering: tokens, the rendezvous hash, and arrivals as a whole.
+/// Time of steering: token signing and verification, rendezvous hashing, and complete arrivals.
 #include "core/rendezvous.h"
 #include "core/requests/token.h"
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// A feed arrives and its caller leaves, with `state.range(0)` feeds held beside it.
+/// Arrival and departure of a feed's caller while `state.range(0)` other feeds are open.
 auto arriving(benchmark::State &state, const std::string &token) -> void
 {
     Init init;
--- a/bench/core/main.cpp
+++ b/bench/core/main.cpp
@@ -1,4 +1,4 @@
-/// The main function of the benches of the library.
+/// Entry point of the library benchmarks.
 #include <benchmark/benchmark.h>
 
 BENCHMARK_MAIN();
--- a/bench/core/messagebench.cpp
+++ b/bench/core/messagebench.cpp
@@ -1,5 +1,4 @@
-/// Bytes of the messages between hosts by what they carry, and the time of writing and reading
-/// them.
+/// Encoded size of messages between hosts by content, and time to encode and decode them.
 #include "wire/messagecodec.h"
 
 #include <benchmark/benchmark.h>
@@ -35,7 +34,7 @@
     state.counters["bytes"] = static_cast<double>(bytes);
 }
 
-/// A probe with `range(0)` changes of members and the loads of `range(1)` cells.
+/// Probe with `range(0)` member changes and the loads of `range(1)` cells.
 auto probeMessage(benchmark::State &state) -> void
 {
     Ping ping;
@@ -55,7 +54,7 @@
     timeCodec(state, ping);
 }
 
-/// A claim of `range(0)` cells of a zone of `range(1)` hosts.
+/// Claim of `range(0)` cells in a zone of `range(1)` hosts.
 auto claimMessage(benchmark::State &state) -> void
 {
     ClaimRequest claim;
--- a/bench/core/packetbench.cpp
+++ b/bench/core/packetbench.cpp
@@ -1,4 +1,4 @@
-/// Time of a decision on a packet: steered by its cookie, and a new flow placed among upstreams.
+/// Time of a packet decision: steering by cookie, and placement of a new flow on an upstream.
 #include <flamingograde/balancer.h>
 
 #include <benchmark/benchmark.h>
@@ -17,7 +17,9 @@
 constexpr std::uint32_t upstreamNet = 0x0a800000;
 constexpr std::uint32_t callerNet = 0x64400000;
 constexpr std::size_t zones = 4;
-constexpr std::uint32_t flows = 4096; ///< Of one packet each; timed in batches.
+/// Flows that `steerByCookie` cycles through in batches, with one packet each; also the number of
+/// ports per caller address.
+constexpr std::uint32_t flows = 4096;
 
 auto settings() -> Init
 {
@@ -31,7 +33,7 @@
     return init;
 }
 
-auto upstreamRecord(std::uint64_t number) -> DirectoryRecord
+auto makeUpstreamRecord(std::uint64_t number) -> DirectoryRecord
 {
     DirectoryRecord record;
     auto &upstream = record.upstream;
@@ -49,7 +51,7 @@
     return record;
 }
 
-auto oneRow() -> std::shared_ptr<const PacketRows>
+auto makeRows() -> std::shared_ptr<const PacketRows>
 {
     PacketRow row;
     row.name = "feed";
@@ -63,7 +65,7 @@
     return rows;
 }
 
-/// A host that knows so many upstreams of one service.
+/// Host with one packet row and a given number of upstreams of one service.
 class PacketHost
 {
 public:
@@ -71,9 +73,9 @@
     {
         DirectoryUpdate update;
         update.upTo = { upstreams + 1 };
-        update.rows = oneRow();
+        update.rows = makeRows();
         for (std::uint64_t number = 1; number <= upstreams; ++number) {
-            update.present.push_back(upstreamRecord(number));
+            update.present.push_back(makeUpstreamRecord(number));
         }
         static_cast<void>(
                 this->balancer.handle(this->now, DirectoryRead { std::move(update), false }));
@@ -81,7 +83,7 @@
         this->decisions.reserve(config::packetBatch);
     }
 
-    /// Decides on a batch of packets that `make` makes.
+    /// Steers a batch of packets. `make` returns the packet of a running number.
     template<typename Make>
     auto steer(const Make &make) -> const std::vector<PacketDecision> &
     {
@@ -101,7 +103,7 @@
     std::uint32_t next = 0;
 };
 
-auto openingOf(std::uint32_t number) -> PacketHead
+auto makeOpeningPacket(std::uint32_t number) -> PacketHead
 {
     PacketHead head;
     head.service = rowAddress;
@@ -110,19 +112,19 @@
     return head;
 }
 
-auto countPackets(benchmark::State &state) -> void
+auto reportPacketCount(benchmark::State &state) -> void
 {
     state.SetItemsProcessed(static_cast<std::int64_t>(state.iterations())
                             * static_cast<std::int64_t>(config::packetBatch));
 }
 
-/// Acknowledgements of open flows, with the cookie of their upstream.
+/// Steering of acknowledgements that carry the cookie of an upstream.
 auto steerByCookie(benchmark::State &state) -> void
 {
     PacketHost host(static_cast<std::size_t>(state.range(0)));
-    const auto cookie = host.steer(openingOf).front().targets.front().cookie;
-    const auto following = [cookie](std::uint32_t number) {
-        auto head = openingOf(number % flows);
+    const auto cookie = host.steer(makeOpeningPacket).front().targets.front().cookie;
+    const auto makeAcknowledgement = [cookie](std::uint32_t number) {
+        auto head = makeOpeningPacket(number % flows);
         head.flags.opens = false;
         head.flags.acknowledges = true;
         head.cookie = cookie;
@@ -130,19 +132,19 @@
         return head;
     };
     while (state.KeepRunning()) {
-        benchmark::DoNotOptimize(host.steer(following).data());
+        benchmark::DoNotOptimize(host.steer(makeAcknowledgement).data());
     }
-    countPackets(state);
+    reportPacketCount(state);
 }
 
-/// Packets that open flows.
+/// Placement of flows by their opening packets.
 auto placeNewFlow(benchmark::State &state) -> void
 {
     PacketHost host(static_cast<std::size_t>(state.range(0)));
     while (state.KeepRunning()) {
-        benchmark::DoNotOptimize(host.steer(openingOf).data());
+        benchmark::DoNotOptimize(host.steer(makeOpeningPacket).data());
     }
-    countPackets(state);
+    reportPacketCount(state);
 }
 
 BENCHMARK(steerByCookie)->Arg(18)->Arg(120)->Arg(110000);
--- a/bench/core/requestbench.cpp
+++ b/bench/core/requestbench.cpp
@@ -1,4 +1,5 @@
-/// Requests through a balancer that is the home of their cell: arrival, dispatch, head, answer.
+/// Time of a request on the host that is the home of its cell: arrival, dispatch, answer head and
+/// end of the answer.
 #include "benchhost.h"
 
 #include "core/keys/idempotencykey.h"
@@ -12,9 +13,10 @@
 
 using namespace flamingograde;
 
-constexpr std::size_t ticksEvery = 64; ///< Requests between two ticks: 1280 a second of host time.
+/// Requests between two ticks: 1280 per simulated second.
+constexpr std::size_t requestsPerTick = 64;
 
-/// Runs whole requests of the row at `address`, each with a key from `nextKey`.
+/// Runs complete requests to the row at `address`, each with a key from `nextKey`.
 template<typename NextKey>
 auto runRequests(benchmark::State &state, Address address, NextKey nextKey) -> void
 {
@@ -25,8 +27,8 @@
         const auto request = host.arrive(address, {}, nextKey());
         host.report(request, Progress::Answering);
         host.report(request, Progress::Answered);
-        if (++count % ticksEvery == 0) {
-            host.pass(config::tickPeriod);
+        if (++count % requestsPerTick == 0) {
+            host.runFor(config::tickPeriod);
         }
     }
     const auto answered = static_cast<double>(host.balancer().stats().answered - before);
@@ -39,7 +41,7 @@
     runRequests(state, readRow, [] { return std::string(); });
 }
 
-/// Non-idempotent requests whose keys are remembered.
+/// Non-idempotent requests, whose idempotency keys the host stores.
 auto keyedRequests(benchmark::State &state) -> void
 {
     std::mt19937_64 random(1);
--- a/bench/core/steeringbench.cpp
+++ b/bench/core/steeringbench.cpp
@@ -1,5 +1,5 @@
-/// Time of a steering decision: token check and look-ups alone, whole arrivals of feeds through the
-/// balancer, and placement by rendezvous.
+/// Time of a steering decision: token verification with table look-ups, complete arrivals of feeds
+/// at the balancer, and rendezvous hashing.
 #include "benchhost.h"
 
 #include "core/rendezvous.h"
@@ -17,7 +17,8 @@
 
 using namespace flamingograde;
 
-constexpr std::size_t batch = 4096; ///< Arrivals timed together, so that the clock costs nothing.
+/// Arrivals timed together, so that the cost of reading the clock is negligible.
+constexpr std::size_t batch = 4096;
 
 auto tokenFor(const Table &table) -> std::string
 {
@@ -25,7 +26,7 @@
     return signToken({ upstream.service, upstream.id, FlowId(1) }, table.tokenKeys().front());
 }
 
-/// Token verified, row by address, upstream by id.
+/// Verifies a token and looks up the row by address and the upstream by id.
 auto steerByToken(benchmark::State &state) -> void
 {
     const auto table = *parseTable(benchTable(), "bench");
@@ -41,7 +42,7 @@
             static_cast<double>(placed) / static_cast<double>(state.iterations());
 }
 
-/// The winner among the upstreams of the Association's larger service.
+/// Rendezvous pick among `benchUpstreams` upstreams.
 auto rendezvousOverUpstreams(benchmark::State &state) -> void
 {
     std::vector<RendezvousNode> nodes;
@@ -54,7 +55,7 @@
     }
 }
 
-/// Times batches of `arrive`, with the exchanges dropped outside of the time.
+/// Times batches of `arrive`. The callers leave between batches, outside the timed section.
 auto timeArrivals(benchmark::State &state, BenchHost &host,
                   const std::function<ExchangeId()> &arrive) -> void
 {
@@ -67,14 +68,14 @@
         const std::chrono::duration<double> passed = std::chrono::steady_clock::now() - begin;
         state.SetIterationTime(passed.count() / static_cast<double>(batch));
         for (const auto exchange : exchanges) {
-            host.give(CallerLeft { exchange });
+            host.handleEvent(CallerLeft { exchange });
         }
     }
     state.counters["per_second"] =
             benchmark::Counter(1, benchmark::Counter::kIsIterationInvariantRate);
 }
 
-/// A feed with a token through `Balancer::handle`.
+/// Arrival of a feed with a token, through `Balancer::handle`.
 auto handleFeedWithToken(benchmark::State &state) -> void
 {
     BenchHost host;
@@ -82,7 +83,7 @@
     timeArrivals(state, host, [&] { return host.arrive(feedRow, token); });
 }
 
-/// A feed without a token through `Balancer::handle`: placed by rendezvous.
+/// Arrival of a feed without a token, through `Balancer::handle`, which places it by rendezvous.
 auto handleNewFeed(benchmark::State &state) -> void
 {
     BenchHost host;
--- a/bench/core/table_bench.cpp
+++ b/bench/core/table_bench.cpp
@@ -1,5 +1,5 @@
-/// Time and memory of putting a table of 11,000 rows and 110,000 upstreams in force, split by
-/// service into parts under a megabyte; and of refusing a part with many faults.
+/// Time and memory of parsing a table of 11,000 rows and 110,000 upstreams, split by service into
+/// parts under a megabyte; time of rejecting a part with many errors and of comparing two tables.
 #include "unit/tabletext.h"
 
 #include <flamingograde/config.h>
@@ -19,17 +19,17 @@
 using namespace flamingograde;
 
 constexpr std::size_t parts = 25;
-constexpr std::size_t servicesEach = 440;
-constexpr std::size_t upstreamsEach = 10;
+constexpr std::size_t servicesPerPart = 440;
+constexpr std::size_t upstreamsPerService = 10;
 constexpr std::size_t zones = 4;
 constexpr double megabyte = 1e6;
 
 auto partText(std::size_t part) -> std::string
 {
-    return writeTable(makeTable(part, servicesEach, upstreamsEach, zones));
+    return writeTable(makeTable(part, servicesPerPart, upstreamsPerService, zones));
 }
 
-auto heldBytes() -> double
+auto allocatedBytes() -> double
 {
     const auto info = mallinfo2();
     return static_cast<double>(info.uordblks + info.hblkhd);
@@ -38,15 +38,15 @@
 auto parsePart(benchmark::State &state) -> void
 {
     const auto text = partText(0);
-    std::size_t found = 0;
+    std::size_t refused = 0;
     while (state.KeepRunning()) {
         const auto table = parseTable(text, "part");
-        found += table ? 0 : 1;
+        refused += table ? 0 : 1;
         benchmark::DoNotOptimize(table);
     }
     state.SetBytesProcessed(static_cast<std::int64_t>(state.iterations() * text.size()));
     state.counters["part_MB"] = static_cast<double>(text.size()) / megabyte;
-    state.counters["refused"] = static_cast<double>(found);
+    state.counters["refused"] = static_cast<double>(refused);
 }
 
 auto parseAllParts(benchmark::State &state) -> void
@@ -60,7 +60,7 @@
     std::size_t upstreams = 0;
     std::size_t rows = 0;
     while (state.KeepRunning()) {
-        const auto before = heldBytes();
+        const auto before = allocatedBytes();
         std::vector<Table> tables;
         bytes = rows = upstreams = 0;
         for (const auto &text : texts) {
@@ -69,7 +69,7 @@
             rows += tables.back().rows().size();
             upstreams += tables.back().upstreams().size();
         }
-        held = heldBytes() - before;
+        held = allocatedBytes() - before;
     }
     state.SetBytesProcessed(static_cast<std::int64_t>(state.iterations() * bytes));
     state.counters["text_MB"] = static_cast<double>(bytes) / megabyte;
@@ -96,7 +96,7 @@
 
 auto diffPart(benchmark::State &state) -> void
 {
-    const auto before = makeTable(0, servicesEach, upstreamsEach, zones);
+    const auto before = makeTable(0, servicesPerPart, upstreamsPerService, zones);
     auto upstreams = before.upstreams();
     for (auto &upstream : upstreams) {
         upstream.slots += 1;
--- a/bench/fleet/barefleet.cpp
+++ b/bench/fleet/barefleet.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr const char *platformIp = "127.3.0.1:0";
-constexpr int upstreamsEach = 10; ///< Of an idle service.
-constexpr int octet = 250;
-constexpr int hostIps = 1;
-constexpr int upstreamIps = 2;
-constexpr Millis readyLimit { 30000 };
-constexpr Millis settleLimit { 60000 };
-constexpr Millis settlePoll { 200 };
-constexpr Millis rolloutLimit { 15000 };
-constexpr Millis rolloutPoll { 10 };
+constexpr int upstreamsPerService = 10; ///< Upstreams of each idle service.
+constexpr int addressesPerSubnet = 250;
+constexpr int hostNetwork = 1;
+constexpr int upstreamNetwork = 2;
+constexpr Millis readyTimeout { 30000 };
+constexpr Millis membershipTimeout { 60000 };
+constexpr Millis membershipPollPeriod { 200 };
+constexpr Millis rolloutTimeout { 15000 };
+constexpr Millis rolloutPollPeriod { 10 };
 
 auto writeSection(std::ostream &out, const std::string &name, const nlohmann::json &fields) -> void
 {
@@ -34,8 +34,8 @@
 
 BareFleet::BareFleet(harness::Loop &eventLoop, harness::Deployment plan)
     : loop(eventLoop), deployment(std::move(plan)),
-      configService(eventLoop, "platform", { { "listen", platformIp } },
-                    this->temporary.file("platform.log")),
+      platformProcess(eventLoop, "platform", { { "listen", platformIp } },
+                      this->temporary.file("platform.log")),
       callerProcess(eventLoop, "caller", { { "seed", 1 } }, this->temporary.file("caller.log"))
 {
     this->draft.apply({ "key", "1" });
@@ -48,9 +48,10 @@
 auto BareFleet::addIdleUpstreams(int count) -> void
 {
     for (int i = 0; i < count; ++i) {
-        const auto service = "bulk-" + std::to_string(i / upstreamsEach);
-        const auto ending = std::to_string(i / octet) + "." + std::to_string(i % octet) + ":80";
-        if (i % upstreamsEach == 0) {
+        const auto service = "bulk-" + std::to_string(i / upstreamsPerService);
+        const auto ending = std::to_string(i / addressesPerSubnet) + "."
+                            + std::to_string(i % addressesPerSubnet) + ":80";
+        if (i % upstreamsPerService == 0) {
             this->draft.add("row", { { "name", service + "-row" },
                                      { "service", service },
                                      { "kind", "request" },
@@ -70,25 +71,25 @@
     for (const auto &host : this->deployment.hosts) {
         this->startHost(host);
     }
-    this->listHosts();
-    auto settled = this->isSettled();
+    this->publishHostList();
+    auto settled = this->isMembershipComplete();
     const auto begin = std::chrono::steady_clock::now();
-    while (!settled && std::chrono::steady_clock::now() - begin < settleLimit) {
-        this->loop.runFor(settlePoll);
-        settled = this->isSettled();
+    while (!settled && std::chrono::steady_clock::now() - begin < membershipTimeout) {
+        this->loop.runFor(membershipPollPeriod);
+        settled = this->isMembershipComplete();
     }
     if (!settled) {
-        throw std::runtime_error("not all hosts came to know each other");
+        throw std::runtime_error("not all hosts listed every other host as alive within 60 s");
     }
 }
 
-auto BareFleet::replaceHost(const std::string &name, const std::string &by) -> void
+auto BareFleet::replaceHost(const std::string &name, const std::string &replacement) -> void
 {
     const auto found = this->hosts.find(name);
-    const harness::HostPlan plan { by, found->second.plan.zone };
+    const harness::HostPlan plan { replacement, found->second.plan.zone };
     this->hosts.erase(found);
     this->startHost(plan);
-    this->listHosts();
+    this->publishHostList();
 }
 
 auto BareFleet::publish(const std::string &edit) -> std::uint64_t
@@ -103,14 +104,14 @@
         return host.second.value("flamingograde_revision", 0.0)
                < static_cast<double>(this->revision);
     };
-    while (std::chrono::steady_clock::now() - this->published < rolloutLimit) {
+    while (std::chrono::steady_clock::now() - this->published < rolloutTimeout) {
         const auto all = this->metrics();
         if (std::none_of(all.begin(), all.end(), isBehind)) {
             const std::chrono::duration<double> passed =
                     std::chrono::steady_clock::now() - this->published;
             return passed.count();
         }
-        this->loop.runFor(rolloutPoll);
+        this->loop.runFor(rolloutPollPeriod);
     }
     return std::nullopt;
 }
@@ -130,12 +131,12 @@
     }
     this->loop.waitUntil([&] { return answered == this->hosts.size(); });
     if (pages.size() != this->hosts.size()) {
-        throw std::runtime_error("not all hosts gave their metrics");
+        throw std::runtime_error("could not read /metrics from all hosts");
     }
     return pages;
 }
 
-auto BareFleet::listenerOf(const std::string &host, const std::string &row) -> std::string
+auto BareFleet::listenerAddress(const std::string &host, const std::string &row) -> std::string
 {
     const std::string address = this->draft.find("row", row).at("address");
     return this->hosts.at(host).process->listeners().at(address);
@@ -152,7 +153,7 @@
     for (const auto &plan : this->deployment.upstreams) {
         nlohmann::json options = plan.options;
         options["name"] = plan.name;
-        options["listen"] = this->nextIp(plan.zone, upstreamIps) + ":0";
+        options["listen"] = this->nextIp(plan.zone, upstreamNetwork) + ":0";
         list.push_back(std::move(options));
     }
     this->upstreamProcess = std::make_unique<harness::Standin>(
@@ -187,9 +188,9 @@
 
 auto BareFleet::writeSettings(const harness::HostPlan &plan) -> std::filesystem::path
 {
-    const auto ip = this->nextIp(plan.zone, hostIps);
+    const auto ip = this->nextIp(plan.zone, hostNetwork);
     const auto anyPort = ip + ":0";
-    const std::string platformAddress = this->configService.readyEvent().at("address");
+    const std::string platformAddress = this->platformProcess.readyEvent().at("address");
     auto file = this->temporary.file(plan.name + ".toml");
     std::ofstream out(file);
     writeSection(out, "host", { { "name", plan.name }, { "zone", plan.zone } });
@@ -206,14 +207,14 @@
     return file;
 }
 
-auto BareFleet::listHosts() -> void
+auto BareFleet::publishHostList() -> void
 {
     const auto allReady = [this] {
         return std::all_of(this->hosts.begin(), this->hosts.end(),
                            [](const auto &host) { return host.second.process->isReady(); });
     };
-    if (!this->loop.waitUntil(allReady, readyLimit)) {
-        throw std::runtime_error("not all hosts became ready");
+    if (!this->loop.waitUntil(allReady, readyTimeout)) {
+        throw std::runtime_error("not all hosts became ready within 30 s");
     }
     auto list = nlohmann::json::array();
     for (const auto &[name, host] : this->hosts) {
@@ -224,19 +225,19 @@
                          { "relay", ready.at("relay") },
                          { "state", "live" } });
     }
-    this->configService.call({ { "cmd", "hosts" }, { "hosts", std::move(list) } });
+    this->platformProcess.call({ { "cmd", "hosts" }, { "hosts", std::move(list) } });
 }
 
 auto BareFleet::publishTable() -> std::uint64_t
 {
     const auto text = this->draft.toToml();
     this->published = std::chrono::steady_clock::now();
-    const auto answer = this->configService.call({ { "cmd", "publish" }, { "table", text } });
+    const auto answer = this->platformProcess.call({ { "cmd", "publish" }, { "table", text } });
     this->revision = answer.at("revision");
     return this->revision;
 }
 
-auto BareFleet::isSettled() -> bool
+auto BareFleet::isMembershipComplete() -> bool
 {
     const auto all = this->metrics();
     return std::all_of(all.begin(), all.end(), [&](const auto &host) {
@@ -252,5 +253,5 @@
     const auto found = std::find(zones.begin(), zones.end(), zone);
     const auto prefix =
             "127." + std::to_string(kind) + "." + std::to_string(found - zones.begin() + 1) + ".";
-    return prefix + std::to_string(++this->usedIps[prefix]);
+    return prefix + std::to_string(++this->lastNumbers[prefix]);
 }
--- a/bench/fleet/controlcost.cpp
+++ b/bench/fleet/controlcost.cpp
@@ -15,16 +15,18 @@
 
 namespace {
 
-constexpr Millis calmTime { 4000 };   ///< From the start to the first measure...
-constexpr Millis calmPerHost { 400 }; ///< ...and for each host, as its joining is told to all.
-constexpr Millis idleTime { 6000 };   ///< Longer than the periods of probes and host list.
+constexpr Millis warmUpTime { 4000 };       ///< Delay from the start to the first measurement...
+constexpr Millis warmUpTimePerHost { 400 }; ///< ...and per host, as each join is gossiped to all.
+constexpr Millis idleTime { 6000 };         ///< Longer than the probe and host-list periods.
 constexpr Millis editsTime { 4000 };
-constexpr Millis editPeriod { 1000 }; ///< 14 times the design rate, so that edits stand out.
+/// 14 times the design rate, so that the cost of edits is visible.
+constexpr Millis editPeriod { 1000 };
 constexpr Millis churnTime { 5000 };
 constexpr int rollouts = 3;
-constexpr std::size_t editHosts = 12; ///< Four a zone: two read the platform, two ask others.
+/// Four per zone: two read the platform, two ask other hosts.
+constexpr std::size_t editHosts = 12;
 
-auto weightEdit(int number) -> std::string
+auto makeWeightEdit(int number) -> std::string
 {
     return "row packs weight=" + std::to_string(2 + number % 2);
 }
@@ -41,18 +43,19 @@
     CostMeter meter(fleet);
     const auto edits = editsTime / editPeriod;
     for (int i = 0; i < edits; ++i) {
-        fleet.publish(weightEdit(i));
+        fleet.publish(makeWeightEdit(i));
         loop.runFor(editPeriod);
     }
     return meter.read();
 }
 
-/// Returns the longest time until an edit was in force on all hosts; null if one never was.
+/// Returns the longest time in seconds until an edit was in force on all hosts; null if one was not
+/// in force within the timeout of `BareFleet::waitInForce`.
 auto measureRollouts(harness::Loop &loop, BareFleet &fleet) -> nlohmann::json
 {
     double longest = 0;
     for (int i = 0; i < rollouts; ++i) {
-        fleet.publish(weightEdit(i + 1));
+        fleet.publish(makeWeightEdit(i + 1));
         const auto seconds = fleet.waitInForce();
         if (!seconds) {
             return nullptr;
@@ -63,7 +66,7 @@
     return longest;
 }
 
-/// The cost while a host is killed and another takes its place.
+/// Returns the cost while one host is killed and another one replaces it.
 auto measureChurn(harness::Loop &loop, BareFleet &fleet) -> HostCost
 {
     CostMeter meter(fleet);
@@ -76,7 +79,7 @@
 {
     BareFleet fleet(loop, controlDeployment(hosts));
     fleet.startHosts();
-    loop.runFor(calmTime + calmPerHost * hosts);
+    loop.runFor(warmUpTime + warmUpTimePerHost * hosts);
     nlohmann::json measured { { "hosts", hosts } };
     measured["idle"] = measureIdle(loop, fleet).toJson();
     measured["rollout_seconds_max"] = measureRollouts(loop, fleet);
@@ -84,15 +87,16 @@
     measured["edits"] = measureEdits(loop, fleet).toJson();
     measured["churn_seconds"] = static_cast<double>(churnTime.count()) / 1000;
     measured["churn"] = measureChurn(loop, fleet).toJson();
-    progress.say(std::to_string(hosts)
-                 + " hosts: " + measured["idle"]["bytes_sent_per_second"]["mean"].dump()
-                 + " bytes/s sent a host, cpu " + measured["idle"]["cpu_share"]["mean"].dump()
-                 + ", edit in force after " + measured["rollout_seconds_max"].dump() + " s");
+    progress.print(std::to_string(hosts)
+                   + " hosts: " + measured["idle"]["bytes_sent_per_second"]["mean"].dump()
+                   + " bytes/s sent by a host, cpu share "
+                   + measured["idle"]["cpu_share"]["mean"].dump() + ", edit in force after "
+                   + measured["rollout_seconds_max"].dump() + " s");
     return measured;
 }
 
-/// Returns the line through a measure of fleets whose hosts all know each other.
-auto lineOf(const nlohmann::json &sizes, const std::string &field) -> Line
+/// Fits a line through the values at JSON pointer `field` for fleets with flat membership.
+auto fitLine(const nlohmann::json &sizes, const std::string &field) -> Line
 {
     std::vector<Point> points;
     const nlohmann::json::json_pointer path(field);
@@ -116,11 +120,11 @@
     if (sizes.size() > 1) {
         const auto &list = measured["sizes"];
         measured["lines"] = {
-            { "bytes_sent", lineOf(list, "/idle/bytes_sent_per_second/mean").toJson() },
-            { "messages_sent", lineOf(list, "/idle/messages_sent_per_second/mean").toJson() },
-            { "cpu_share", lineOf(list, "/idle/cpu_share/mean").toJson() },
-            { "resident_bytes", lineOf(list, "/idle/resident_bytes/mean").toJson() },
-            { "platform_calls", lineOf(list, "/idle/platform_calls_per_second").toJson() },
+            { "bytes_sent", fitLine(list, "/idle/bytes_sent_per_second/mean").toJson() },
+            { "messages_sent", fitLine(list, "/idle/messages_sent_per_second/mean").toJson() },
+            { "cpu_share", fitLine(list, "/idle/cpu_share/mean").toJson() },
+            { "resident_bytes", fitLine(list, "/idle/resident_bytes/mean").toJson() },
+            { "platform_calls", fitLine(list, "/idle/platform_calls_per_second").toJson() },
         };
     }
     return measured;
@@ -133,7 +137,7 @@
         BareFleet fleet(loop, controlDeployment(editHosts));
         fleet.addIdleUpstreams(upstreams);
         fleet.startHosts();
-        loop.runFor(calmTime + calmPerHost * editHosts);
+        loop.runFor(warmUpTime + warmUpTimePerHost * editHosts);
         const auto idle = measureIdle(loop, fleet);
         const auto rollout = measureRollouts(loop, fleet);
         const auto edits = measureEdits(loop, fleet);
@@ -142,9 +146,10 @@
                              { "rollout_seconds_max", rollout },
                              { "idle", idle.toJson() },
                              { "edits", edits.toJson() } });
-        progress.say("table of " + std::to_string(fleet.tableBytes())
-                     + " bytes: " + std::to_string(edits.bytesSent.mean)
-                     + " bytes/s sent a host under edits, in force after " + rollout.dump() + " s");
+        progress.print("table of " + std::to_string(fleet.tableBytes())
+                       + " bytes: " + std::to_string(edits.bytesSent.mean)
+                       + " bytes/s sent by a host during edits, edit in force after "
+                       + rollout.dump() + " s");
     }
     return measured;
 }
--- a/bench/fleet/controldeployment.cpp
+++ b/bench/fleet/controldeployment.cpp
@@ -1,4 +1,4 @@
-/// Reads the deployment and adds its hosts.
+/// Reads the deployment from control.toml and adds hosts to it.
 #include "controldeployment.h"
 
 #include "harness/tomlfile.h"
--- a/bench/fleet/controldeployment.h
+++ b/bench/fleet/controldeployment.h
@@ -1,4 +1,4 @@
-/// The deployment of the measures that change the number of hosts.
+/// Deployment for benchmarks with a variable number of hosts.
 #pragma once
 
 #include "harness/deployment.h"
--- a/bench/fleet/directbench.cpp
+++ b/bench/fleet/directbench.cpp
@@ -12,31 +12,31 @@
 namespace {
 
 constexpr const char *upstreamName = "echo-z1-1";
-constexpr Millis calmTime { 3000 }; ///< Until the host is home of its cells.
+constexpr Millis warmUpTime { 3000 }; ///< Until the host is the home of its cells.
 constexpr Millis latencyTime { 3000 };
 constexpr Millis stepTime { 1500 };
-constexpr Millis finishLimit { 30000 };
+constexpr Millis finishTimeout { 30000 };
 constexpr double latencyRate = 500;
-constexpr double loneRate = 20;       ///< So few that a host is idle between two requests.
-constexpr double firstRate = 8000;    ///< Of requests on kept connections.
-constexpr double firstNewRate = 2000; ///< Of requests on new connections.
+constexpr double loneRate = 20;      ///< So low that the host is idle between two requests.
+constexpr double initialRate = 8000; ///< Requests per second on kept-alive connections.
+constexpr double initialNewConnectionRate = 2000; ///< Requests per second on new connections.
 constexpr double rateFactor = 1.4;
-constexpr double lastRate = 120000;
-constexpr double sustainedShare = 0.98; ///< Of the requests that were due, answered.
-constexpr double sustainedP99 = 100;    ///< Milliseconds.
+constexpr double maxRate = 120000;
+constexpr double sustainedShare = 0.98; ///< Minimum answered share of the due requests.
+constexpr double sustainedP99 = 100;    ///< Maximum 99th percentile of latency, in milliseconds.
 constexpr int flows = 200;
 constexpr int feeds = 6000;
-constexpr double feedRate = 6000; ///< Openings asked for a second.
+constexpr double feedRate = 6000; ///< Requested openings per second.
 constexpr double microseconds = 1e6;
 
-/// One load: where to, and how.
+/// Target address and parameters of one load.
 struct LoadPlan
 {
     std::string address;
     double rate = 0;
     Millis time { 0 };
     int flowCount = flows;
-    int reuse = 64; ///< Requests on one connection.
+    int reuse = 64; ///< Requests per connection.
 };
 
 auto ratios(const nlohmann::json &through, const nlohmann::json &straight) -> nlohmann::json
@@ -60,16 +60,16 @@
                                    std::string(FLAMINGOGRADE_BENCH) + "/direct.toml")))
     {
         this->fleet.startHosts();
-        this->loop.runFor(calmTime);
+        this->loop.runFor(warmUpTime);
     }
 
-    [[nodiscard]] auto straight() -> std::string
+    [[nodiscard]] auto directAddress() -> std::string
     {
         return this->fleet.upstreamAddress(upstreamName);
     }
-    [[nodiscard]] auto throughHost(const std::string &row) -> std::string
+    [[nodiscard]] auto hostAddress(const std::string &row) -> std::string
     {
-        return this->fleet.listenerOf(this->fleet.plan().hosts.front().name, row);
+        return this->fleet.listenerAddress(this->fleet.plan().hosts.front().name, row);
     }
 
     auto send(const LoadPlan &plan) -> nlohmann::json
@@ -85,16 +85,16 @@
                        { "flows", plan.flowCount },
                        { "reuse", plan.reuse } });
         this->loop.runFor(plan.time);
-        callers.call({ { "cmd", "stop" }, { "name", name } }, finishLimit);
-        callers.call({ { "cmd", "wait" }, { "name", name } }, finishLimit);
-        return callers.call({ { "cmd", "report" }, { "name", name } }, finishLimit);
+        callers.call({ { "cmd", "stop" }, { "name", name } }, finishTimeout);
+        callers.call({ { "cmd", "wait" }, { "name", name } }, finishTimeout);
+        return callers.call({ { "cmd", "report" }, { "name", name } }, finishTimeout);
     }
 
-    /// Sends the same load both ways. @returns the latencies and their ratios.
+    /// Sends the same load through the host and directly. @returns the latencies and their ratios.
     auto compare(double rate) -> nlohmann::json
     {
-        const auto through = this->send({ this->throughHost("reads"), rate, latencyTime });
-        const auto straight = this->send({ this->straight(), rate, latencyTime });
+        const auto through = this->send({ this->hostAddress("reads"), rate, latencyTime });
+        const auto straight = this->send({ this->directAddress(), rate, latencyTime });
         return { { "rate", rate },
                  { "answered", through.at("answered") },
                  { "through_ms", through.at("latency_ms") },
@@ -102,12 +102,12 @@
                  { "ratio", ratios(through, straight) } };
     }
 
-    /// Raises the rate from that of `plan` until it is not sustained in either of two tries.
-    /// @returns the last rate that was.
-    auto largestRate(LoadPlan plan) -> double
+    /// Raises the rate, starting at that of `plan`, until neither of two attempts sustains it.
+    /// @returns the last sustained rate; 0 if there was none.
+    auto findMaxRate(LoadPlan plan) -> double
     {
         double sustained = 0;
-        for (; plan.rate <= lastRate; plan.rate *= rateFactor) {
+        for (; plan.rate <= maxRate; plan.rate *= rateFactor) {
             if (!this->isSustained(plan) && !this->isSustained(plan)) {
                 break;
             }
@@ -116,8 +116,8 @@
         return sustained;
     }
 
-    /// Opens feeds through the host. @returns how many were opened a second.
-    auto feedsPerSecond() -> double
+    /// Opens feeds through the host. @returns the number of feeds opened per second.
+    auto measureFeedOpenRate() -> double
     {
         const auto name = this->nextName();
         auto &callers = this->fleet.callers();
@@ -125,12 +125,12 @@
         callers.call({ { "cmd", "load" },
                        { "name", name },
                        { "kind", "feed" },
-                       { "address", this->throughHost("feeds") },
+                       { "address", this->hostAddress("feeds") },
                        { "rate", feedRate },
                        { "flows", feeds } });
-        callers.call({ { "cmd", "wait" }, { "name", name } }, finishLimit);
+        callers.call({ { "cmd", "wait" }, { "name", name } }, finishTimeout);
         const std::chrono::duration<double> passed = std::chrono::steady_clock::now() - begin;
-        callers.call({ { "cmd", "stop" }, { "name", name } }, finishLimit);
+        callers.call({ { "cmd", "stop" }, { "name", name } }, finishTimeout);
         return feeds / passed.count();
     }
 
@@ -161,26 +161,27 @@
 {
     DirectRun run(loop);
     nlohmann::json measured;
-    const auto reads = run.throughHost("reads");
+    const auto reads = run.hostAddress("reads");
     measured["lone"] = run.compare(loneRate);
     const auto cpuBefore = run.cpuSeconds();
     measured["steady"] = run.compare(latencyRate);
     const auto cpu = run.cpuSeconds() - cpuBefore;
     measured["cpu_us_per_request"] =
             cpu * microseconds / measured["steady"]["answered"].get<double>();
-    progress.say("latency through a host over straight, p50: lone "
-                 + measured["lone"]["ratio"]["p50"].dump() + ", steady "
-                 + measured["steady"]["ratio"]["p50"].dump());
-    const auto most = run.largestRate({ reads, firstRate, stepTime });
-    const auto mostStraight = run.largestRate({ run.straight(), firstRate, stepTime });
-    measured["requests_per_second"] = { { "through", most },
-                                        { "straight", mostStraight },
-                                        { "ratio", most / mostStraight } };
-    progress.say("requests a second through a host " + std::to_string(most) + ", straight "
-                 + std::to_string(mostStraight));
-    measured["new_flows_per_second"] = run.largestRate({ reads, firstNewRate, stepTime, 0, 1 });
-    measured["new_feeds_per_second"] = run.feedsPerSecond();
-    progress.say("new flows a second " + measured["new_flows_per_second"].dump() + ", feeds "
-                 + measured["new_feeds_per_second"].dump());
+    progress.print("p50 latency ratio, through a host to straight: lone "
+                   + measured["lone"]["ratio"]["p50"].dump() + ", steady "
+                   + measured["steady"]["ratio"]["p50"].dump());
+    const auto maxRateThrough = run.findMaxRate({ reads, initialRate, stepTime });
+    const auto maxRateStraight = run.findMaxRate({ run.directAddress(), initialRate, stepTime });
+    measured["requests_per_second"] = { { "through", maxRateThrough },
+                                        { "straight", maxRateStraight },
+                                        { "ratio", maxRateThrough / maxRateStraight } };
+    progress.print("requests per second through a host " + std::to_string(maxRateThrough)
+                   + ", straight " + std::to_string(maxRateStraight));
+    measured["new_flows_per_second"] =
+            run.findMaxRate({ reads, initialNewConnectionRate, stepTime, 0, 1 });
+    measured["new_feeds_per_second"] = run.measureFeedOpenRate();
+    progress.print("new flows per second through a host " + measured["new_flows_per_second"].dump()
+                   + ", new feeds per second " + measured["new_feeds_per_second"].dump());
     return measured;
 }
--- a/bench/fleet/directbench.h
+++ b/bench/fleet/directbench.h
@@ -1,4 +1,4 @@
-/// What the way through a host costs beside the straight way to the upstream.
+/// Overhead of the path through a host against a direct connection to the upstream.
 #pragma once
 
 #include "progress.h"
@@ -7,7 +7,7 @@
 
 #include <nlohmann/json.hpp>
 
-/// Sends the same loads through one host and straight to an upstream.
-/// @returns latency and largest sustained rate of both ways with their ratios, new flows a second
-/// through the host, and its CPU time a request.
+/// Sends the same loads through one host and directly to an upstream.
+/// @returns latency and highest sustained rate of both paths with their ratios, new flows and new
+/// feeds per second through the host, and the host's CPU time per request.
 [[nodiscard]] auto measureDirect(harness::Loop &loop, const Progress &progress) -> nlohmann::json;
--- a/bench/fleet/fairshare.h
+++ b/bench/fleet/fairshare.h
@@ -1,17 +1,17 @@
-/// What the table's weights give to rows that compete.
+/// Weighted fair shares of competing rows.
 #pragma once
 
 #include <vector>
 
-/// A row's claim.
+/// Demand of one row.
 struct Demand
 {
     double weight = 1;
-    double asked = 0; ///< What it would take if there were enough.
+    double requested = 0; ///< Amount that the row would use without competition.
 };
 
-/// Divides `total` by weight so that no row gets more than it asked for; what one leaves goes to
-/// the others by weight (weighted max-min fairness).
-/// @returns the parts in the order of `demands`.
+/// Divides `total` by weighted max-min fairness: no row gets more than it requested, and what a row
+/// leaves unused is divided among the others by weight.
+/// @returns the shares in the order of `demands`.
 [[nodiscard]] auto fairShares(double total, const std::vector<Demand> &demands)
         -> std::vector<double>;
--- a/bench/fleet/feedbench.cpp
+++ b/bench/fleet/feedbench.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 constexpr std::size_t hosts = 8;
-constexpr int feedsEach = 1050; ///< Of a host: 600 for each of 14 upstreams over all hosts.
-constexpr double rateEach = 2000;
-constexpr double eventsPerSecond = 1; ///< Of a feed: `event_ms` of control.toml.
-constexpr Millis openLimit { 60000 };
-constexpr Millis calmTime { 6000 };
+constexpr int feedsPerHost = 1050; ///< 600 per upstream, with 14 upstreams over all hosts.
+constexpr double openRatePerHost = 2000;
+constexpr double eventsPerSecond = 1; ///< Per feed; matches `event_ms` in control.toml.
+constexpr Millis openTimeout { 60000 };
+constexpr Millis warmUpTime { 6000 };
 constexpr Millis costTime { 3000 };
 
 auto openFeeds(BareFleet &fleet, const std::string &host) -> void
@@ -29,13 +29,13 @@
     callers.call({ { "cmd", "load" },
                    { "name", name },
                    { "kind", "feed" },
-                   { "address", fleet.listenerOf(host, "pack-feed") },
-                   { "rate", rateEach },
-                   { "flows", feedsEach } });
-    callers.call({ { "cmd", "wait" }, { "name", name } }, openLimit);
+                   { "address", fleet.listenerAddress(host, "pack-feed") },
+                   { "rate", openRatePerHost },
+                   { "flows", feedsPerHost } });
+    callers.call({ { "cmd", "wait" }, { "name", name } }, openTimeout);
 }
 
-/// Returns how many feeds each upstream of the feeds' service has open.
+/// Returns the number of open feeds by upstream, for the upstreams of service live-pack.
 auto countFeeds(BareFleet &fleet) -> std::map<std::string, double>
 {
     const auto ledger = fleet.upstreams().call({ { "cmd", "ledger" }, { "limit", 1 } });
@@ -48,15 +48,16 @@
     return open;
 }
 
-auto costOver(harness::Loop &loop, BareFleet &fleet) -> HostCost
+auto measureCost(harness::Loop &loop, BareFleet &fleet) -> HostCost
 {
     CostMeter meter(fleet);
     loop.runFor(costTime);
     return meter.read();
 }
 
-/// The largest of several means of random draws is about this many deviations from the mean.
-auto expectedOfRandom(double count, double upstreams) -> double
+/// Returns the expected largest relative deviation from the mean when `count` feeds are placed at
+/// random: about sqrt(2 ln(2 `upstreams`)) standard deviations.
+auto expectedRandomImbalance(double count, double upstreams) -> double
 {
     return std::sqrt(2 * std::log(2 * upstreams)) / std::sqrt(count / upstreams);
 }
@@ -67,12 +68,12 @@
 {
     BareFleet fleet(loop, controlDeployment(hosts));
     fleet.startHosts();
-    loop.runFor(calmTime);
-    const auto before = costOver(loop, fleet);
+    loop.runFor(warmUpTime);
+    const auto before = measureCost(loop, fleet);
     for (const auto &host : fleet.plan().hosts) {
         openFeeds(fleet, host.name);
     }
-    const auto after = costOver(loop, fleet);
+    const auto after = measureCost(loop, fleet);
     const auto open = countFeeds(fleet);
     const auto upstreams = static_cast<double>(open.size());
     const auto total =
@@ -82,14 +83,14 @@
     for (const auto &[upstream, count] : open) {
         imbalance = std::max(imbalance, std::abs(count * upstreams / total - 1));
     }
-    progress.say("imbalance of feeds " + std::to_string(imbalance));
+    progress.print("imbalance of feeds " + std::to_string(imbalance));
     return { { "feeds", total },
              { "upstreams", upstreams },
              { "resident_bytes_each",
-               (after.residentBytes.mean - before.residentBytes.mean) / feedsEach },
-             { "cpu_share_each", (after.cpuShare.mean - before.cpuShare.mean) / feedsEach },
+               (after.residentBytes.mean - before.residentBytes.mean) / feedsPerHost },
+             { "cpu_share_each", (after.cpuShare.mean - before.cpuShare.mean) / feedsPerHost },
              { "events_per_second_each", eventsPerSecond },
              { "imbalance", imbalance },
-             { "expected_of_random", expectedOfRandom(total, upstreams) },
+             { "expected_of_random", expectedRandomImbalance(total, upstreams) },
              { "by_upstream", open } };
 }
--- a/bench/fleet/hostcost.cpp
+++ b/bench/fleet/hostcost.cpp
@@ -4,15 +4,15 @@
 
 namespace {
 
-using Pages = std::map<std::string, nlohmann::json>;
+using MetricsByHost = std::map<std::string, nlohmann::json>;
 
 auto sample(const nlohmann::json &page, const std::string &name) -> double
 {
     return page.value("flamingograde_" + name, 0.0);
 }
 
-auto spreadOf(const Pages &before, const Pages &after, const std::string &name, double divisor)
-        -> Spread
+auto computeSpread(const MetricsByHost &before, const MetricsByHost &after, const std::string &name,
+                   double divisor) -> Spread
 {
     Spread spread;
     for (const auto &[host, page] : after) {
@@ -46,17 +46,17 @@
 {
     const auto after = this->fleet.metrics();
     const auto calls = this->platformCalls() - this->callsBefore;
-    const std::chrono::duration<double> span = std::chrono::steady_clock::now() - this->begin;
+    const std::chrono::duration<double> interval = std::chrono::steady_clock::now() - this->begin;
     const auto rate = [&](const char *name) {
-        return spreadOf(this->before, after, name, span.count());
+        return computeSpread(this->before, after, name, interval.count());
     };
     HostCost cost;
     cost.bytesSent = rate("peer_bytes_sent_total");
     cost.bytesReceived = rate("peer_bytes_received_total");
     cost.messagesSent = rate("peer_messages_sent_total");
     cost.cpuShare = rate("process_cpu_seconds_total");
-    cost.residentBytes = spreadOf({}, after, "process_resident_bytes", 1);
-    cost.platformCalls = calls / span.count();
+    cost.residentBytes = computeSpread({}, after, "process_resident_bytes", 1);
+    cost.platformCalls = calls / interval.count();
     return cost;
 }
 
--- a/bench/fleet/hostcost.h
+++ b/bench/fleet/hostcost.h
@@ -1,4 +1,4 @@
-/// What the hosts of a fleet used in a span of time.
+/// Resource use of a fleet's hosts over an interval.
 #pragma once
 
 #include "barefleet.h"
@@ -10,7 +10,7 @@
 #include <map>
 #include <string>
 
-/// Mean and largest value over the hosts.
+/// Mean and maximum over the hosts.
 struct Spread
 {
     double mean = 0;
@@ -22,27 +22,28 @@
     }
 };
 
-/// Rates of use, a host.
+/// Resource use per host over an interval.
 struct HostCost
 {
-    Spread bytesSent;         ///< Bytes a second to other hosts.
-    Spread bytesReceived;     ///< Bytes a second from other hosts.
-    Spread messagesSent;      ///< Messages a second to other hosts.
-    Spread cpuShare;          ///< Share of one core.
-    Spread residentBytes;     ///< At the end of the span.
-    double platformCalls = 0; ///< Calls a second on the platform by all hosts together.
+    Spread bytesSent;         ///< Bytes per second to other hosts.
+    Spread bytesReceived;     ///< Bytes per second from other hosts.
+    Spread messagesSent;      ///< Messages per second to other hosts.
+    Spread cpuShare;          ///< CPU use as a share of one core.
+    Spread residentBytes;     ///< Resident memory at the end of the interval.
+    double platformCalls = 0; ///< Platform calls per second by all hosts together.
 
     [[nodiscard]] auto toJson() const -> nlohmann::json;
 };
 
-/// Reads the counters of a fleet at the begin and the end of a span.
-/// @remarks Not thread safe. Precondition: the fleet outlives it; no host changes in between.
+/// Reads the counters of a fleet at the start and the end of an interval.
+/// @remarks Not thread safe. Precondition: the fleet outlives the meter, and no host is replaced
+/// during the interval.
 class CostMeter
 {
 public:
-    /// Begins the span.
+    /// Starts the interval.
     explicit CostMeter(BareFleet &fleet);
-    /// Returns the rates since the begin.
+    /// Returns the cost since construction.
     [[nodiscard]] auto read() -> HostCost;
 
 private:
--- a/bench/fleet/leastsquares.h
+++ b/bench/fleet/leastsquares.h
@@ -1,4 +1,4 @@
-/// A straight line through measured points.
+/// Least-squares line fit.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -24,6 +24,6 @@
     }
 };
 
-/// Returns the line with the least sum of squared distances from `points`.
-/// Precondition: two points differ in `x`.
+/// Returns the line with the least sum of squared distances in `y` from `points`.
+/// Precondition: at least two points differ in `x`.
 [[nodiscard]] auto leastSquares(const std::vector<Point> &points) -> Line;
--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -1,5 +1,5 @@
-/// Measures real hosts and writes a report. Usage: bench-fleet REPORT [PART...]
-/// With names of parts only these are measured, and replaced in a report that is there.
+/// Benchmarks real host processes and writes a JSON report. Usage: bench-fleet REPORT [PART...]
+/// With PART arguments, runs only these parts and replaces their results in an existing report.
 #include "controlcost.h"
 #include "directbench.h"
 #include "feedbench.h"
@@ -23,14 +23,14 @@
 
 namespace {
 
-/// A part of the bench, by the name under which the report has it.
+/// Benchmark part; `name` is its key in the report.
 struct Part
 {
     std::string name;
     std::function<nlohmann::json()> run;
 };
 
-auto partsOf(harness::Loop &loop, const Progress &progress) -> std::vector<Part>
+auto makeParts(harness::Loop &loop, const Progress &progress) -> std::vector<Part>
 {
     const std::vector<std::size_t> sizes { 3, 9, 27, 81 };
     return {
@@ -42,30 +42,30 @@
     };
 }
 
-/// Returns the report in `file`; an empty one where there is none.
+/// Returns the report in `file`; an empty one if the file cannot be opened.
 auto readReport(const std::string &file) -> nlohmann::json
 {
     std::ifstream in(file);
     return in ? nlohmann::json::parse(in) : nlohmann::json::object();
 }
 
-/// Runs the parts called `names`, or all, and writes the report after each.
+/// Runs the parts in `names`, or all if it is empty, and writes the report after each part.
 auto run(harness::Loop &loop, const std::string &file, const std::vector<std::string> &names)
         -> void
 {
     const Progress progress;
-    const auto parts = partsOf(loop, progress);
+    const auto parts = makeParts(loop, progress);
     for (const auto &name : names) {
-        const auto isCalled = [&](const Part &part) { return part.name == name; };
-        if (std::none_of(parts.begin(), parts.end(), isCalled)) {
-            throw std::runtime_error("no part " + name);
+        const auto hasName = [&](const Part &part) { return part.name == name; };
+        if (std::none_of(parts.begin(), parts.end(), hasName)) {
+            throw std::runtime_error("no benchmark part named " + name);
         }
     }
     auto report = names.empty() ? nlohmann::json::object() : readReport(file);
     for (const auto &part : parts) {
-        const auto isNamed = std::find(names.begin(), names.end(), part.name) != names.end();
-        if (names.empty() || isNamed) {
-            progress.say("part " + part.name);
+        const auto isSelected = std::find(names.begin(), names.end(), part.name) != names.end();
+        if (names.empty() || isSelected) {
+            progress.print("part " + part.name);
             report[part.name] = part.run();
             std::ofstream(file) << report.dump(2) << "\n";
         }
--- a/bench/fleet/policybench.cpp
+++ b/bench/fleet/policybench.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr const char *callersIp = "127.4.0.1";
-constexpr Millis finishLimit { 30000 };
-constexpr Millis pauseBetween { 1000 }; ///< For queues and shed answers to be over.
+constexpr Millis finishTimeout { 30000 };
+constexpr Millis pauseBetweenSituations { 1000 }; ///< Lets queues empty and shed answers arrive.
 
-/// What an upstream's ledger counted.
+/// Totals of an upstream's ledger.
 struct UpstreamCounts
 {
     double runs = 0;
@@ -55,7 +55,7 @@
         this->fleet.startHosts();
     }
 
-    /// Runs one situation. @returns its measures.
+    /// Runs one situation. @returns its results.
     auto run(const nlohmann::json &situation) -> nlohmann::json
     {
         this->change(situation, "set");
@@ -66,7 +66,7 @@
         const auto rows = this->finishLoads(names);
         const auto after = readLedger(this->fleet);
         this->change(situation, "heal");
-        this->loop.runFor(pauseBetween);
+        this->loop.runFor(pauseBetweenSituations);
         auto measured = this->measureRows(rows, seconds);
         measureUpstreams(measured, before, after);
         measured["situation"] = situation.at("name");
@@ -117,7 +117,7 @@
         return names;
     }
 
-    /// Ends the loads. @returns their reports by row.
+    /// Stops the loads and waits for their end. @returns their reports by row.
     auto finishLoads(const std::map<std::string, std::string> &names)
             -> std::map<std::string, nlohmann::json>
     {
@@ -127,7 +127,7 @@
             callers.call({ { "cmd", "stop" }, { "name", name } });
         }
         for (const auto &[row, name] : names) {
-            callers.call({ { "cmd", "wait" }, { "name", name } }, finishLimit);
+            callers.call({ { "cmd", "wait" }, { "name", name } }, finishTimeout);
             reports[row] = callers.call({ { "cmd", "report" }, { "name", name } });
         }
         return reports;
@@ -215,10 +215,10 @@
                 continue;
             }
             measured[policy].push_back(result);
-            progress.say(policy + ", " + situation.at("name").get<std::string>() + ": goodput "
-                         + result.at("goodput_per_second").dump() + "/s, in time "
-                         + result.at("share_within_deadline").dump() + ", imbalance "
-                         + result.at("imbalance_upstreams").dump());
+            progress.print(policy + ", " + situation.at("name").get<std::string>() + ": goodput "
+                           + result.at("goodput_per_second").dump() + "/s, share answered in time "
+                           + result.at("share_within_deadline").dump() + ", upstream imbalance "
+                           + result.at("imbalance_upstreams").dump());
         }
     }
     return measured;
--- a/bench/fleet/policybench.h
+++ b/bench/fleet/policybench.h
@@ -1,4 +1,4 @@
-/// The placement policies under one load.
+/// Comparison of the placement policies under the same load.
 #pragma once
 
 #include "progress.h"
@@ -7,7 +7,8 @@
 
 #include <nlohmann/json.hpp>
 
-/// Runs each policy of policies.toml through each of its situations with the same seeded load.
+/// Runs each policy in policies.toml through each situation there, with the same seeded load. The
+/// results of the first situation are discarded.
 /// @returns for each policy and situation: imbalance of upstreams and rows, goodput, share
 /// answered within the deadline, latency, refusals, and requests over an upstream's slots.
 [[nodiscard]] auto measurePolicies(harness::Loop &loop, const Progress &progress) -> nlohmann::json;
